--- a/src/fleet/choose_candidates.ts
+++ b/src/fleet/choose_candidates.ts
@@ -1,38 +1,40 @@
 import {Random} from '../random/index.js';
-import {drawSample, LOOK_AT_ALL} from '../routing/index.js';
+import {drawSample, MAX_UNSAMPLED_SERVERS} from '../routing/index.js';
 import {TrackedServer} from './tracked_server.js';
 
-/** What the choice of candidates depends on. */
-export interface CandidateQuestion {
+/** Properties of a request on which the choice of candidates depends. */
+export interface CandidateQuery {
   /** Servers that must not get the request again. */
   readonly excluded: ReadonlySet<string>;
-  /** Server on which all hosts agree for the request's prompt. */
-  readonly home: string | undefined;
-  /** Counts the prompt's tokens that a server is believed to have cached. */
+  /**
+   * Server that all hosts prefer for the prompt; see `choosePreferredServer`.
+   */
+  readonly preferredServer: string | undefined;
+  /** Counts the prompt's tokens that a server is assumed to have cached. */
   readonly countCached: (server: TrackedServer) => number;
   readonly random: Random;
 }
 
 /**
- * Chooses the servers that are looked at for a request, so that what a request
- * costs does not grow with the fleet.
+ * Chooses the servers to consider for a request. Their number is bounded, so
+ * that the cost of a request does not grow with the fleet.
  * @param ready - Servers that take new work.
- * @param question - The request.
+ * @param query - The request.
  */
 export function chooseCandidates(
   ready: readonly TrackedServer[],
-  question: CandidateQuestion,
+  query: CandidateQuery,
 ): readonly TrackedServer[] {
-  if (ready.length <= LOOK_AT_ALL) {
+  if (ready.length <= MAX_UNSAMPLED_SERVERS) {
     return ready;
   }
-  const {excluded, home, random} = question;
+  const {excluded, preferredServer, random} = query;
   const allowed = ready.filter(({server}) => !excluded.has(server.id));
-  const atHome = allowed.filter(({server}) => server.id === home);
+  const preferred = allowed.filter(({server}) => server.id === preferredServer);
   return [
     ...new Set([
-      ...atHome,
-      ...drawSample(allowed, question.countCached, random),
+      ...preferred,
+      ...drawSample(allowed, query.countCached, random),
     ]),
   ];
 }
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -5,109 +5,122 @@
 import {Clock} from '../time/index.js';
 import {Demand, DemandMeter} from '../quota/index.js';
 import {chooseCandidates} from './choose_candidates.js';
-import {chooseHome} from './choose_home.js';
+import {choosePreferredServer} from './choose_preferred_server.js';
 import {FleetServer, FleetState} from './fleet_server.js';
-import {KnowledgeQuestion} from './knowledge_question.js';
+import {KnowledgeQuery} from './knowledge_query.js';
 import {HostLoad, PREFILL_TOKENS_PER_MS, sumPeerWork} from './peer_work.js';
 import {FleetFlight, FlightEnd, TrackedServer} from './tracked_server.js';
 import {PromptPart} from './part_memory.js';
-import {PartNews, SentPart} from './part_news.js';
+import {PartUpdates, SentPart} from './part_updates.js';
 import {sumAhead} from './pending_prefill.js';
 
-/** What the fleet works with. */
+/** Dependencies of the fleet. */
 export interface FleetOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Data centre of this host: its servers are nearer. */
+  /** Data centre of this host; its servers are preferred. */
   readonly dataCentre: string;
   readonly random: Random;
-  /** Returns what live peers have in flight at a server. */
+  /** Returns the work that live peers have in flight at a server. */
   readonly listPeerLoads: (server: string) => readonly HostLoad[];
 }
 
-/** Milliseconds of detour to another data centre and back. */
-const HOP_MS = 3;
-/** Milliseconds an engine takes per token of one stream, when moderately full. */
+/** Additional round-trip time to a server in another data centre. */
+const CROSS_DATA_CENTRE_ROUND_TRIP_MS = 3;
+/** Time an engine takes per token of one stream under moderate load. */
 const DECODE_MS = 5;
-/** Milliseconds a plain service works on a request, until its own are seen. */
-const PLAIN_WORK_MS = 80;
-/** Share of a shared prompt that its home server is assumed to have cached. */
-const HOME_CREDIT = 0.5;
-/** Memory assumed of an engine whose service does not say, in tokens. */
+/**
+ * Assumed processing time of a request at a plain service. Longer times
+ * count as excess delay.
+ */
+const PLAIN_REQUEST_MS = 80;
+/**
+ * Share of the shared parts that their preferred server is assumed to have
+ * cached.
+ */
+const PREFERRED_SERVER_CACHED_SHARE = 0.5;
+/** Cache size assumed for an engine if the catalog does not specify it. */
 const DEFAULT_CACHE_TOKENS = 500_000;
 const MS_PER_SECOND = 1000;
 
 /**
- * Time since a server's registration ended from which its end was to come, in
- * milliseconds: servers that leave serve on for seconds, one that crashed does not.
+ * Time after the end of its registration from which a server counts as leaving.
+ * A server that leaves keeps serving for seconds after that; a crashed one does
+ * not.
  */
-const GONE_MS = 1000;
+const UNREGISTERED_LEAVING_MS = 1000;
 
-/** Time for which a draining server still accepts copied runs, in milliseconds. */
+/**
+ * Time for which a draining server still accepts runs whose KV cache was copied
+ * to it.
+ */
 const COPIED_RUN_GRACE_MS = 500;
 
-/** Rank that is behind every other: all that is pending counts. */
-const LAST_RANK = Number.MAX_SAFE_INTEGER;
+/** Rank behind every other: all pending work is ahead of it. */
+const LEAST_URGENT_RANK = Number.MAX_SAFE_INTEGER;
 
-/** Flight at a server that is no longer known. */
-const NO_FLIGHT: FleetFlight = {
+/** In-flight request at a server that is no longer known. */
+const UNTRACKED_REQUEST: FleetFlight = {
   addFirstByte: () => undefined,
   addProgress: () => undefined,
   finish: () => undefined,
 };
 
-/** All backend servers that are registered, with what is known of each. */
+/** The registered backend servers, with what is known about each. */
 export class Fleet {
-  /** By the id of one start. */
+  /** Servers by the id of their incarnation. */
   private readonly servers = new Map<string, TrackedServer>();
-  /** Latest start of each server that is remembered, by name. */
-  private readonly starts = new Map<string, FleetServer>();
+  /** Latest known incarnation of each server, by name. */
+  private readonly latestIncarnations = new Map<string, FleetServer>();
   private readonly listeners: ((server: FleetServer) => void)[] = [];
   private readonly outliers: OutlierDetector;
   private readonly prefill: DemandMeter;
-  private readonly partNews: PartNews;
+  private readonly partUpdates: PartUpdates;
   private catalog: Catalog | undefined;
 
   constructor(private readonly options: FleetOptions) {
     this.outliers = new OutlierDetector(options.clock);
     this.prefill = new DemandMeter(options.clock);
-    this.partNews = new PartNews(options.clock);
+    this.partUpdates = new PartUpdates(options.clock);
   }
 
-  /** Has a function called for each server whose state changes. */
+  /** Adds a function that is called for each server whose state changes. */
   addListener(listener: (server: FleetServer) => void): void {
     this.listeners.push(listener);
   }
 
-  /** Takes over the services of a catalog. */
+  /** Sets the catalog with the services of the servers. */
   setCatalog(catalog: Catalog): void {
     this.catalog = catalog;
   }
 
   /**
-   * Takes in a registration. That of a later start ends the one before; that of
-   * an earlier start, heard late, changes nothing.
+   * Adds or updates a registration. A registration of a later incarnation marks
+   * the one before as terminated. A delayed registration of an earlier
+   * incarnation is ignored.
+   * @param server - The server as it registered itself.
+   * @param source - Where the registration was read, for the log.
    */
   set(server: FleetServer, source: string): void {
-    const latest = this.starts.get(server.name);
+    const latest = this.latestIncarnations.get(server.name);
     if (latest !== undefined && latest.startedMs > server.startedMs) {
-      this.noteEarlierStart(latest, server, source);
+      this.handleOutdatedIncarnation(latest, server, source);
       return;
     }
-    this.starts.set(server.name, server);
+    this.latestIncarnations.set(server.name, server);
     if (latest !== undefined && latest.id !== server.id) {
       this.update({...latest, state: FleetState.ENDED}, source);
     }
     this.update(server, source);
   }
 
-  /** Takes in that the registration under a name has ended. */
+  /** Marks the latest incarnation of a server as unregistered. */
   remove(name: string, source: string): void {
-    const latest = this.starts.get(name);
+    const latest = this.latestIncarnations.get(name);
     if (latest !== undefined) {
       this.update({...latest, state: FleetState.GONE}, source);
     }
-    this.trim();
+    this.removeExpired();
   }
 
   private update(server: FleetServer, source: string): void {
@@ -115,7 +128,7 @@
     if (known !== undefined) {
       const {server: before} = known;
       known.setServer(server);
-      this.noteState(before, server, source);
+      this.publishStateChange(before, server, source);
       return;
     }
     const engine = this.catalog?.services.get(server.service)?.engine;
@@ -124,7 +137,7 @@
       server.id,
       new TrackedServer(server, capacity, this.options.clock),
     );
-    this.noteState(undefined, server, source);
+    this.publishStateChange(undefined, server, source);
   }
 
   /** Returns a server. */
@@ -133,8 +146,9 @@
   }
 
   /**
-   * Tells whether a server has said that it leaves, or has long been gone from the
-   * register: its end was to come, whatever ran there.
+   * Returns whether a server has announced that it leaves, or has been
+   * unregistered for a while. Its termination was then to be expected, whatever
+   * ran there.
    */
   isLeaving(id: string): boolean {
     const tracked = this.servers.get(id);
@@ -142,20 +156,21 @@
       case FleetState.DRAINING:
         return true;
       case FleetState.GONE:
-        return tracked.getStateAgeMs() > GONE_MS;
+        return tracked.getStateAgeMs() > UNREGISTERED_LEAVING_MS;
       default:
         return false;
     }
   }
 
-  /** Tells whether a server is registered and not draining. */
+  /** Returns whether a server is registered and not draining. */
   isReady(id: string): boolean {
     return this.servers.get(id)?.server.state === FleetState.READY;
   }
 
   /**
-   * Tells whether a server accepts a run whose memory was copied to it. No other
-   * server can resume the run, so one that began draining only recently qualifies too.
+   * Returns whether a server accepts a run whose KV cache was copied to it. No
+   * other server can resume the run, so a server that started draining only
+   * recently qualifies, too.
    */
   acceptsCopiedRun(id: string): boolean {
     const tracked = this.servers.get(id);
@@ -165,12 +180,12 @@
     return this.isReady(id);
   }
 
-  /** Tells whether any server is known. */
+  /** Returns whether any server is known. */
   isKnown(): boolean {
     return this.servers.size > 0;
   }
 
-  /** Returns every server that is remembered, with its state. */
+  /** Returns the known incarnations of all servers, with their states. */
   listStates(): {readonly id: string; readonly state: FleetState}[] {
     return [...this.servers.values()].map(({server}) => ({
       id: server.id,
@@ -178,7 +193,7 @@
     }));
   }
 
-  /** Returns the servers of a service that are registered, draining or not. */
+  /** Returns the registered servers of a service, including draining ones. */
   listServers(service: string): FleetServer[] {
     const found: FleetServer[] = [];
     for (const {server} of this.servers.values()) {
@@ -189,7 +204,10 @@
     return found;
   }
 
-  /** Tells whether a function picks any of a service's servers that take work. */
+  /**
+   * Returns whether a function accepts any server of a service that takes new
+   * work.
+   */
   hasReady(service: string, picks: (server: FleetServer) => boolean): boolean {
     for (const {server} of this.servers.values()) {
       const isReady =
@@ -201,7 +219,7 @@
     return false;
   }
 
-  /** Counts the servers of a service that take work, by version. */
+  /** Counts the servers of a service that take new work, by version. */
   countReady(service: string): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const {server} of this.listReady(service)) {
@@ -211,7 +229,7 @@
     return counts;
   }
 
-  /** Returns the work of this host at each server, to tell peers. */
+  /** Returns the work of this host at each server, as reported to peers. */
   listOwnLoads(): HostLoad[] {
     const loads: HostLoad[] = [];
     for (const [server, tracked] of this.servers) {
@@ -223,41 +241,44 @@
     return loads;
   }
 
-  /** Returns the prompt tokens per second this host has each service compute. */
+  /**
+   * Returns the prompt tokens per second that this host sends to each service
+   * and that are not assumed to be cached.
+   */
   listPrefill(): Demand[] {
     return this.prefill.list();
   }
 
-  /** Returns the shared parts of prompts that were just sent, to tell peers. */
+  /**
+   * Returns the shared prompt parts that were sent recently, as reported to
+   * peers.
+   */
   listSentParts(): SentPart[] {
-    return this.partNews.list();
+    return this.partUpdates.list();
   }
 
-  /** Takes in which parts of prompts a peer has sent to which servers. */
+  /** Adds the prompt parts that a peer has sent to servers. */
   addPeerParts(sent: readonly SentPart[]): void {
     for (const {server, part} of sent) {
-      this.servers.get(server)?.memory.add([part]);
+      this.servers.get(server)?.cachedParts.add([part]);
     }
   }
 
   /**
-   * Tells what is known of a service's servers that take new work; of many
-   * servers, of some that suit the request.
+   * Returns what is known about the servers of a service that take new work. Of
+   * many servers, only some candidates for the request are returned.
    * @param service - The service.
-   * @param question - The request.
+   * @param query - The request.
    */
-  listKnowledge(
-    service: string,
-    question: KnowledgeQuestion,
-  ): ServerKnowledge[] {
-    const {parts, urgency = LAST_RANK} = question;
-    const ready = this.listAllowed(service, question);
+  listKnowledge(service: string, query: KnowledgeQuery): ServerKnowledge[] {
+    const {parts, urgency = LEAST_URGENT_RANK} = query;
+    const ready = this.listAllowed(service, query);
     const shared = parts.slice(0, -1);
-    const home = chooseHome(shared, ready);
+    const preferredServer = choosePreferredServer(shared, ready);
     const candidates = chooseCandidates(ready, {
-      excluded: question.excluded ?? new Set(),
-      home,
-      countCached: ({memory}) => memory.countCachedTokens(parts),
+      excluded: query.excluded ?? new Set(),
+      preferredServer,
+      countCached: ({cachedParts}) => cachedParts.countCachedTokens(parts),
       random: this.options.random,
     });
     const isEngine = this.catalog?.services.get(service)?.engine !== undefined;
@@ -265,8 +286,11 @@
     for (const tracked of candidates) {
       const {server} = tracked;
       const peers = sumPeerWork(this.options.listPeerLoads(server.id), urgency);
-      const cached = tracked.memory.countCachedTokens(parts);
-      const credit = server.id === home ? countTokens(shared) * HOME_CREDIT : 0;
+      const cached = tracked.cachedParts.countCachedTokens(parts);
+      const assumedCached =
+        server.id === preferredServer
+          ? countTokens(shared) * PREFERRED_SERVER_CACHED_SHARE
+          : 0;
       known.push({
         server: server.id,
         dataCentre: server.dataCentre,
@@ -275,28 +299,31 @@
           waiting: 0,
           capacity: server.slots,
           prefillRate: PREFILL_TOKENS_PER_MS * MS_PER_SECOND,
-          decodeMs: isEngine ? DECODE_MS : PLAIN_WORK_MS,
+          decodeMs: isEngine ? DECODE_MS : PLAIN_REQUEST_MS,
           models: [],
         },
         sentSinceReport: 0,
         inFlight: tracked.inFlight,
-        cachedTokens: Math.max(cached, credit),
+        cachedTokens: Math.max(cached, assumedCached),
         pendingPrefillTokens:
-          sumAhead(tracked.prefill.list(), urgency) + peers.ahead,
+          sumAhead(tracked.prefill.list(), urgency) + peers.prefillAhead,
         excessMs: tracked.getExcessMs(),
-        hopMs: server.dataCentre === this.options.dataCentre ? 0 : HOP_MS,
-        ejected: this.outliers.isEjected(server.id) || tracked.isSilent(),
+        hopMs:
+          server.dataCentre === this.options.dataCentre
+            ? 0
+            : CROSS_DATA_CENTRE_ROUND_TRIP_MS,
+        ejected: this.outliers.isEjected(server.id) || tracked.isStalled(),
       });
     }
     return known;
   }
 
   /**
-   * Notes that a request is sent to a server.
+   * Records that a request is sent to a server.
    * @param id - The server.
    * @param parts - Parts of the prompt.
    * @param predictedMs - Predicted time to the first byte of the answer.
-   * @param urgency - Rank of the request at its server.
+   * @param urgency - Rank of the request at its server; 0 is the most urgent.
    */
   startFlight(
     id: string,
@@ -306,32 +333,32 @@
   ): FleetFlight {
     const tracked = this.servers.get(id);
     if (tracked === undefined) {
-      return NO_FLIGHT;
+      return UNTRACKED_REQUEST;
     }
     const tokens = tracked.countUncached(parts);
     this.prefill.add(tracked.server.service, tokens);
-    this.partNews.add(id, parts);
-    return tracked.startFlight(parts, predictedMs, urgency, end =>
-      this.noteEnd(id, end),
+    this.partUpdates.add(id, parts);
+    return tracked.trackRequest(parts, predictedMs, urgency, outcome =>
+      this.recordOutcome(id, outcome),
     );
   }
 
-  private noteEnd(id: string, end: FlightEnd): void {
-    if (end === FlightEnd.NEUTRAL) {
+  private recordOutcome(id: string, outcome: FlightEnd): void {
+    if (outcome === FlightEnd.NEUTRAL) {
       return;
     }
-    if (end === FlightEnd.SUCCEEDED) {
+    if (outcome === FlightEnd.SUCCEEDED) {
       this.outliers.addSuccess(id);
       return;
     }
-    if (this.outliers.addFailure(id, end === FlightEnd.SILENT)) {
-      this.options.log.warn('server_ejected', {server: id, after: end});
+    if (this.outliers.addFailure(id, outcome === FlightEnd.SILENT)) {
+      this.options.log.warn('server_ejected', {server: id, after: outcome});
     }
   }
 
   private listAllowed(
     service: string,
-    {allows}: KnowledgeQuestion,
+    {allows}: KnowledgeQuery,
   ): TrackedServer[] {
     const ready = this.listReady(service);
     return allows === undefined
@@ -350,7 +377,7 @@
     return ready;
   }
 
-  private noteState(
+  private publishStateChange(
     before: FleetServer | undefined,
     after: FleetServer,
     source: string,
@@ -374,10 +401,11 @@
   }
 
   /**
-   * An entry that does not say which start it is, where others did, is another
-   * writer's: it names no server to use.
+   * Logs a registration of an earlier incarnation. One without a start time,
+   * after one with a start time, comes from another writer: the server under
+   * that name must not be used and is marked as unregistered.
    */
-  private noteEarlierStart(
+  private handleOutdatedIncarnation(
     latest: FleetServer,
     server: FleetServer,
     source: string,
@@ -393,13 +421,13 @@
     }
   }
 
-  private trim(): void {
+  private removeExpired(): void {
     for (const [id, tracked] of this.servers) {
       const {server} = tracked;
-      if (!isRegistered(server) && tracked.isForgotten()) {
+      if (!isRegistered(server) && tracked.isExpired()) {
         this.servers.delete(id);
-        if (this.starts.get(server.name)?.id === id) {
-          this.starts.delete(server.name);
+        if (this.latestIncarnations.get(server.name)?.id === id) {
+          this.latestIncarnations.delete(server.name);
         }
       }
     }
--- a/src/fleet/fleet_server.ts
+++ b/src/fleet/fleet_server.ts
@@ -1,43 +1,47 @@
-/** Whether a server takes new work. */
+/** State of a server: whether it is registered and takes new work. */
 export const FleetState = {
   READY: 'ready',
-  /** It has said that it leaves. */
+  /** It has announced that it leaves, and takes no new work. */
   DRAINING: 'draining',
-  /** Its registration has ended; it may still work on what it has. */
+  /** Its registration has ended. It may still process its requests. */
   GONE: 'gone',
-  /** It has started again: what it had and what ran there is lost. */
+  /**
+   * A later incarnation has registered: its cache and everything that ran there
+   * is lost.
+   */
   ENDED: 'ended',
 } as const;
 export type FleetState = (typeof FleetState)[keyof typeof FleetState];
 
-/** A backend server as it registered itself. */
+/** A backend server as it has registered itself. */
 export interface FleetServer {
-  /** Differs for every start of the server; see `createStartId`. */
+  /** Id of the incarnation; see `createStartId`. */
   readonly id: string;
-  /** What it calls itself, at every start. */
+  /** Name of the server, the same for all its incarnations. */
   readonly name: string;
-  /** Unix millisecond of its start; 0 where it does not say. */
+  /** Start time in Unix milliseconds; 0 if not reported. */
   readonly startedMs: number;
   readonly service: string;
-  /** Version of its software; absent where it does not say. */
+  /** Version of its software; absent if not reported. */
   readonly version?: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly dataCentre: string;
-  /** Requests it works on at once. */
+  /** Number of requests it processes concurrently. */
   readonly slots: number;
   readonly state: FleetState;
-  /** Whether the cloud may take it back. */
+  /** Whether the cloud may reclaim it. */
   readonly reclaimable: boolean;
-  /** Time until it is taken back, as it last said, in milliseconds. */
+  /** Time until it is reclaimed, as it last reported, in milliseconds. */
   readonly leavesMs?: number;
 }
 
 /**
- * Makes the id of one start of a server. All that is known of a server is kept
- * by this id, so that nothing known of one start counts for the next.
- * @param name - What the server calls itself.
- * @param startedMs - Unix millisecond of the start; 0 where it does not say.
+ * Creates the id of one incarnation of a server. Everything that is known about
+ * a server is stored under this id, so that nothing is carried over from one
+ * incarnation to the next.
+ * @param name - Name of the server.
+ * @param startedMs - Start time in Unix milliseconds; 0 if not reported.
  */
 export function createStartId(name: string, startedMs: number): string {
   return startedMs === 0 ? name : `${name}@${startedMs}`;
--- a/src/fleet/index.ts
+++ b/src/fleet/index.ts
@@ -1,13 +1,13 @@
-/** The fleet: backend servers that register themselves, and their load. */
+/** Fleet: backend servers that register themselves, and their load. */
 export * from './fleet_server.js';
 export {Fleet} from './fleet.js';
 export type {FleetOptions} from './fleet.js';
-export type {KnowledgeQuestion} from './knowledge_question.js';
+export type {KnowledgeQuery} from './knowledge_query.js';
 export {PREFILL_TOKENS_PER_MS} from './peer_work.js';
 export type {HostLoad, ServerLoad} from './peer_work.js';
 export {PartMemory} from './part_memory.js';
-export {PartNews} from './part_news.js';
-export type {SentPart} from './part_news.js';
+export {PartUpdates} from './part_updates.js';
+export type {SentPart} from './part_updates.js';
 export type {RankedTokens} from './pending_prefill.js';
 export type {PromptPart} from './part_memory.js';
 export {FlightEnd} from './tracked_server.js';
--- a/src/fleet/knowledge_question.ts
+++ b/src/fleet/knowledge_query.ts
@@ -1,13 +1,20 @@
 import {FleetServer} from './fleet_server.js';
 import {PromptPart} from './part_memory.js';
 
-/** What of a service's servers is looked at for one request. */
-export interface KnowledgeQuestion {
+/**
+ * Properties of a request that select and assess the servers of its service.
+ */
+export interface KnowledgeQuery {
   /** Parts of the prompt; empty for plain requests. */
   readonly parts: readonly PromptPart[];
-  /** Rank of the request: what is less urgent is not ahead of it. */
+  /**
+   * Rank of the request: less urgent work is not ahead of it. If absent, all
+   * work is.
+   */
   readonly urgency?: number;
-  /** Tells which servers may get the request at all; left out, all may. */
+  /**
+   * Returns whether a server may get the request at all; if absent, all may.
+   */
   readonly allows?: ((server: FleetServer) => boolean) | undefined;
   /** Servers that must not get the request again. */
   readonly excluded?: ReadonlySet<string>;
--- a/src/fleet/part_memory.ts
+++ b/src/fleet/part_memory.ts
@@ -1,18 +1,18 @@
-/** A part of a prompt: what it is, and how long. */
+/** A part of a prompt: its id, and its length in tokens. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
 /**
- * Which parts of prompts a server is believed to have cached: the parts this
- * host sent it, the least recently used dropped first as the engine does.
+ * Model of the prompt parts that a server has cached: the parts that were sent
+ * to it. The least recently used part is dropped first, as the engine does.
  */
 export class PartMemory {
   private readonly parts = new Map<string, number>();
   private tokens = 0;
 
-  /** @param capacity - Tokens that the server's memory holds. */
+  /** @param capacity - Tokens that the server's cache holds. */
   constructor(private readonly capacity: number) {}
 
   /** Counts the tokens of a prompt's leading parts that are cached. */
@@ -27,7 +27,10 @@
     return cached;
   }
 
-  /** Notes that a prompt was sent, and so will be cached. */
+  /**
+   * Adds the parts of a prompt that was sent to the server and will be cached
+   * there.
+   */
   add(parts: readonly PromptPart[]): void {
     for (const part of parts) {
       const known = this.parts.get(part.id);
--- a/src/fleet/peer_work.ts
+++ b/src/fleet/peer_work.ts
@@ -1,6 +1,6 @@
 import {RankedTokens, sumAhead} from './pending_prefill.js';
 
-/** Work at one server. */
+/** Work in flight at one server. */
 export interface ServerLoad {
   readonly server: string;
   /** Requests in flight. */
@@ -9,41 +9,46 @@
   readonly prefill: readonly RankedTokens[];
 }
 
-/** Work of one host, or of several, at one server, as hosts tell each other. */
+/**
+ * Work of one or several hosts at one server, as hosts report it to each other.
+ */
 export interface HostLoad extends ServerLoad {
-  /** Time since it was so, in milliseconds. */
+  /** Age of the report, in milliseconds. */
   readonly ageMs: number;
 }
 
 /** Work of all peers at one server. */
 export interface PeerWork {
   readonly running: number;
-  /** Prompt tokens that it computes before a request. */
-  readonly ahead: number;
+  /** Prompt tokens that the server computes before the request in question. */
+  readonly prefillAhead: number;
 }
 
 /**
- * Prompt tokens an engine computes per millisecond: what current engines of
- * the sheets do; it weighs cached tokens against queues.
+ * Prompt tokens an engine computes per millisecond: the rate of current engines
+ * in the users' sheets. Used to weigh cached tokens against queues, and to
+ * estimate what a server has computed since a report.
  */
 export const PREFILL_TOKENS_PER_MS = 100;
+
 /**
  * Sums the work of all peers at one server.
- * @param loads - What each has there.
- * @param urgency - Rank of the request that asks.
+ * @param loads - Work of each peer at the server.
+ * @param urgency - Rank of the request in question.
  */
 export function sumPeerWork(
   loads: readonly HostLoad[],
   urgency: number,
 ): PeerWork {
   let running = 0;
-  let ahead = 0;
+  let prefillAhead = 0;
   for (const load of loads) {
     running += load.running;
-    // What a peer told has been worked on since, the most urgent first.
-    const left =
+    // The server has computed part of this since the report, the most urgent
+    // first.
+    const remaining =
       sumAhead(load.prefill, urgency) - load.ageMs * PREFILL_TOKENS_PER_MS;
-    ahead += Math.max(0, left);
+    prefillAhead += Math.max(0, remaining);
   }
-  return {running, ahead};
+  return {running, prefillAhead};
 }
--- a/src/fleet/pending_prefill.ts
+++ b/src/fleet/pending_prefill.ts
@@ -1,4 +1,6 @@
-/** Prompt tokens that a server has yet to compute for requests of one rank. */
+/**
+ * Prompt tokens that a server still has to compute for requests of one rank.
+ */
 export interface RankedTokens {
   /** Rank at the server; 0 is the most urgent. */
   readonly urgency: number;
@@ -6,14 +8,14 @@
 }
 
 /**
- * Prompt tokens that were sent to a server and are not yet computed, by rank:
- * a server computes the most urgent first, so that what is less urgent than a
- * request does not keep it waiting.
+ * Prompt tokens that were sent to a server and are not yet computed, by rank. A
+ * server computes the most urgent first, so a request does not wait for less
+ * urgent ones.
  */
 export class PendingPrefill {
   private readonly tokens = new Map<number, number>();
 
-  /** Adds tokens, or takes them away again. */
+  /** Adds tokens of a rank; a negative number subtracts them. */
   add(urgency: number, tokens: number): void {
     const sum = (this.tokens.get(urgency) ?? 0) + tokens;
     if (sum > 0) {
@@ -23,16 +25,17 @@
     }
   }
 
-  /** Lists the ranks for which there is something to compute. */
+  /** Lists the ranks with pending tokens. */
   list(): RankedTokens[] {
     return [...this.tokens].map(([urgency, tokens]) => ({urgency, tokens}));
   }
 }
 
 /**
- * Sums what a server computes before a request.
- * @param pending - Tokens by rank.
- * @param urgency - The request's rank.
+ * Sums the tokens that a server computes before a request: those of the same
+ * rank and of more urgent ones.
+ * @param pending - Pending tokens by rank.
+ * @param urgency - Rank of the request.
  */
 export function sumAhead(
   pending: readonly RankedTokens[],
--- a/src/fleet/tracked_server.ts
+++ b/src/fleet/tracked_server.ts
@@ -3,154 +3,162 @@
 import {PartMemory, PromptPart} from './part_memory.js';
 import {PendingPrefill} from './pending_prefill.js';
 
-/** A request in flight at a server, closed once by `finish`. */
+/** An in-flight request at a server. Only the first call of `finish` counts. */
 export interface FleetFlight {
-  /** Tells that the answer began, after this many milliseconds. */
+  /** Records the time to the first byte of the answer, in milliseconds. */
   addFirstByte(tookMs: number): void;
-  /** Tells that more of the answer came. */
+  /** Records that more of the answer was received. */
   addProgress(): void;
-  /** Ends the flight and counts how it went. */
-  finish(end: FlightEnd): void;
+  /** Ends the request and records its outcome. */
+  finish(outcome: FlightEnd): void;
 }
 
-/** How a flight ended, as far as it tells of the server. */
+/** How a request ended, as far as it indicates the health of its server. */
 export const FlightEnd = {
   SUCCEEDED: 'succeeded',
   FAILED: 'failed',
-  /** The server could not be reached, or said nothing for too long. */
+  /** The server could not be reached, or did not respond for too long. */
   SILENT: 'silent',
-  /** It says nothing of the server: the caller left, or it had no room. */
+  /**
+   * No indication: for example, the caller left, or the server had no free
+   * capacity.
+   */
   NEUTRAL: 'neutral',
 } as const;
 export type FlightEnd = (typeof FlightEnd)[keyof typeof FlightEnd];
 
 /** Weight of the newest sample in the smoothed excess delay. */
 const EXCESS_WEIGHT = 0.3;
-/** Delay beyond the prediction that is ordinary, in milliseconds. */
-const ORDINARY_MS = 60;
+/** Delay beyond the prediction that does not count as excess. */
+const TOLERATED_DELAY_MS = 60;
 /**
- * Standstill of all streams after which a server gets no new requests, in
- * milliseconds: engines make an event every few tens of milliseconds.
+ * Time without progress of any stream after which a server gets no new
+ * requests. Engines emit an event every few tens of milliseconds.
  */
-const SILENT_MS = 350;
-/** Streams that must have begun for their standstill to tell. */
-const MIN_BEGUN = 2;
-/** Time in which half of an excess is forgotten, in milliseconds. */
+const STALL_TIMEOUT_MS = 350;
+/** Minimum number of answers that have started for a stall to be detected. */
+const MIN_STARTED_ANSWERS = 2;
+/** Time in which the excess delay decays to half. */
 const EXCESS_HALF_LIFE_MS = 2000;
-/** Silence after which a server that is gone is forgotten, in milliseconds. */
-const FORGET_MS = 60_000;
+/** Time without an answer after which an unregistered server is removed. */
+const RETENTION_MS = 60_000;
 
-/** A server with what this host has seen of it. */
+/** A server with what this host has observed of it. */
 export class TrackedServer {
-  readonly memory: PartMemory;
+  readonly cachedParts: PartMemory;
   inFlight = 0;
   readonly prefill = new PendingPrefill();
-  /** Answers that have begun and not ended. */
-  private begun = 0;
-  /** When an answer last made progress, monotonic milliseconds. */
-  private heardMs = 0;
+  /** Number of answers that have started and not ended. */
+  private startedAnswers = 0;
+  /** When an answer last made progress, in monotonic milliseconds. */
+  private lastProgressMs = 0;
   private excessMs = 0;
-  private touchedMs: number;
+  private excessUpdatedMs: number;
 
-  /** Since when it is in its state, monotonic milliseconds. */
-  private stateMs: number;
+  /** When its state last changed, in monotonic milliseconds. */
+  private stateSinceMs: number;
 
   constructor(
     public server: FleetServer,
     cacheTokens: number,
     private readonly clock: Clock,
   ) {
-    this.memory = new PartMemory(cacheTokens);
-    this.touchedMs = clock.monotonicMs();
-    this.stateMs = clock.monotonicMs();
+    this.cachedParts = new PartMemory(cacheTokens);
+    this.excessUpdatedMs = clock.monotonicMs();
+    this.stateSinceMs = clock.monotonicMs();
   }
 
-  /** Takes in what the server is now. */
+  /** Updates the registration of the server. */
   setServer(server: FleetServer): void {
     if (server.state !== this.server.state) {
-      this.stateMs = this.clock.monotonicMs();
+      this.stateSinceMs = this.clock.monotonicMs();
     }
     this.server = server;
   }
 
   /** Returns the time since its state changed, in milliseconds. */
   getStateAgeMs(): number {
-    return this.clock.monotonicMs() - this.stateMs;
+    return this.clock.monotonicMs() - this.stateSinceMs;
   }
 
   /** Returns the smoothed delay beyond predictions, in milliseconds. */
   getExcessMs(): number {
-    const ageMs = this.clock.monotonicMs() - this.touchedMs;
+    const ageMs = this.clock.monotonicMs() - this.excessUpdatedMs;
     return this.excessMs * 0.5 ** (ageMs / EXCESS_HALF_LIFE_MS);
   }
 
-  /** Tells whether all answers that have begun stand still. */
-  isSilent(): boolean {
-    const silentMs = this.clock.monotonicMs() - this.heardMs;
-    return this.begun >= MIN_BEGUN && silentMs > SILENT_MS;
+  /** Returns whether all started answers have stopped making progress. */
+  isStalled(): boolean {
+    const idleMs = this.clock.monotonicMs() - this.lastProgressMs;
+    return (
+      this.startedAnswers >= MIN_STARTED_ANSWERS && idleMs > STALL_TIMEOUT_MS
+    );
   }
 
-  /** Tells whether nothing was heard or sent for so long that it may go. */
-  isForgotten(): boolean {
-    const ageMs = this.clock.monotonicMs() - this.touchedMs;
-    return this.inFlight === 0 && ageMs > FORGET_MS;
+  /**
+   * Returns whether no request is in flight and none has been answered for
+   * long.
+   */
+  isExpired(): boolean {
+    const ageMs = this.clock.monotonicMs() - this.excessUpdatedMs;
+    return this.inFlight === 0 && ageMs > RETENTION_MS;
   }
 
-  /** See `Fleet.startFlight`. */
-  startFlight(
+  /** Records that a request is sent to the server. */
+  trackRequest(
     parts: readonly PromptPart[],
     predictedMs: number,
     urgency: number,
-    onFinish: (end: FlightEnd) => void,
+    onFinish: (outcome: FlightEnd) => void,
   ): FleetFlight {
     let pending = this.countUncached(parts);
     let open = true;
-    let begun = false;
+    let hasStarted = false;
     this.inFlight++;
     this.prefill.add(urgency, pending);
-    this.memory.add(parts);
+    this.cachedParts.add(parts);
     const endPrefill = () => {
       this.prefill.add(urgency, -pending);
       pending = 0;
     };
     return {
       addProgress: () => {
-        this.heardMs = this.clock.monotonicMs();
+        this.lastProgressMs = this.clock.monotonicMs();
       },
       addFirstByte: tookMs => {
         endPrefill();
-        if (open && !begun) {
-          begun = true;
-          this.begun++;
-          this.heardMs = this.clock.monotonicMs();
+        if (open && !hasStarted) {
+          hasStarted = true;
+          this.startedAnswers++;
+          this.lastProgressMs = this.clock.monotonicMs();
         }
-        this.addExcess(Math.max(0, tookMs - predictedMs - ORDINARY_MS));
+        this.addExcess(Math.max(0, tookMs - predictedMs - TOLERATED_DELAY_MS));
       },
-      finish: end => {
+      finish: outcome => {
         if (!open) {
           return;
         }
         open = false;
         endPrefill();
         this.inFlight--;
-        this.begun -= begun ? 1 : 0;
-        onFinish(end);
+        this.startedAnswers -= hasStarted ? 1 : 0;
+        onFinish(outcome);
       },
     };
   }
 
-  /** Counts the prompt tokens that are not believed to be cached. */
+  /** Counts the prompt tokens that are not assumed to be cached. */
   countUncached(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
       tokens += part.tokens;
     }
-    return tokens - this.memory.countCachedTokens(parts);
+    return tokens - this.cachedParts.countCachedTokens(parts);
   }
 
   private addExcess(sampleMs: number): void {
     const before = this.getExcessMs();
     this.excessMs = before + (sampleMs - before) * EXCESS_WEIGHT;
-    this.touchedMs = this.clock.monotonicMs();
+    this.excessUpdatedMs = this.clock.monotonicMs();
   }
 }
--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -1,5 +1,5 @@
 import {Random} from '../random/index.js';
-import {drawSample, LOOK_AT_ALL} from './draw_sample.js';
+import {drawSample, MAX_UNSAMPLED_SERVERS} from './draw_sample.js';
 import {predictFirstToken} from './predict_first_token.js';
 import {
   RoutingDecision,
@@ -8,40 +8,53 @@
   ServerKnowledge,
 } from './server_knowledge.js';
 
-/** A policy that chooses a server; baselines share this shape. */
+/**
+ * A policy that chooses a server for a request; the baseline policies have the
+ * same type.
+ */
 export type ChooseServer = (
   request: RoutingRequest,
   servers: readonly ServerKnowledge[],
   random: Random,
 ) => RoutingDecision;
 
-/** Predictions this close count as equal; chance decides, against herding. */
-const TIE_SHARE = 0.05;
-const TIE_MS = 2;
-const RUNNERS_UP = 2;
 /**
- * What a millisecond of own prefill counts beside one of waiting, while there is
- * slack: a prompt part computed twice delays every stream that runs there. Before
- * emulated servers (`npm run measure -- --only reuse`) shared tokens computed again
- * are 558,000 with it and 819,000 without, first tokens as early.
+ * Costs within this share of the lowest one, plus `TIE_TOLERANCE_MS`, count as
+ * equal. One of the equal servers is drawn at random, so that hosts do not all
+ * choose the same one.
+ */
+const TIE_TOLERANCE_SHARE = 0.05;
+const TIE_TOLERANCE_MS = 2;
+const MAX_RUNNERS_UP = 2;
+/**
+ * Weight of a millisecond of the request's own prefill, where the request has
+ * slack; waiting time has weight 1. Recomputing a cached part of a prompt
+ * delays every stream that runs on the server. With emulated servers (`npm run
+ * measure -- --only reuse`), 558,000 shared tokens are recomputed with this
+ * weight and 819,000 without it, and the first tokens come equally early.
  */
-const WORK_WEIGHT = 3;
-/** What a millisecond past the slack counts: then only the first token matters. */
-const LATE_WEIGHT = 5;
+const OWN_PREFILL_WEIGHT = 3;
+/**
+ * Additional weight of each millisecond by which the first token exceeds the
+ * slack: past the slack, the time to the first token is what matters.
+ */
+const OVER_SLACK_WEIGHT = 5;
 
-/** A server with what choosing it costs, in weighed milliseconds. */
-interface Option extends ScoredServer {
+/** A server with the cost of choosing it, in weighted milliseconds. */
+interface CostedServer extends ScoredServer {
   readonly cost: number;
 }
 
 /**
- * Chooses the server with the earliest predicted first token.
+ * Chooses the server with the lowest cost: without slack, the one with the
+ * earliest predicted first token.
  *
- * A cached prefix is worth the prefill it saves and a queue costs its wait, so
- * affinity holds exactly as long as it pays. A request with slack may wait a
- * little where that saves prefill. Of many servers a random sample
- * and the best holders of the prefix are scored, which spreads the choices of
- * hosts that all see the same late reports.
+ * A cached prefix reduces the predicted prefill time and a queue adds its
+ * waiting time, so a server that has the prefix is preferred only as long as
+ * this is faster. A request with slack may wait longer where that saves
+ * prefill. Of many servers, only a random sample and the servers with most of
+ * the prefix cached are scored. This spreads the choices of hosts that all see
+ * the same delayed load reports.
  */
 export const chooseServer: ChooseServer = (request, servers, random) => {
   const usable = getUsable(request, servers);
@@ -49,27 +62,29 @@
     return {runnersUp: [], reason: 'no-server'};
   }
   const sample = getSample(usable, random);
-  const scored = sample.map(known => score(request, known));
+  const scored = sample.map(known => scoreServer(request, known));
   scored.sort((a, b) => a.cost - b.cost);
   const best = scored[0];
   if (best === undefined) {
     return {runnersUp: [], reason: 'no-server'};
   }
-  const limit = best.cost * (1 + TIE_SHARE) + TIE_MS;
-  const tied = scored.filter(option => option.cost <= limit);
+  const maxTiedCost = best.cost * (1 + TIE_TOLERANCE_SHARE) + TIE_TOLERANCE_MS;
+  const tied = scored.filter(option => option.cost <= maxTiedCost);
   const chosen = tied[Math.floor(random.next() * tied.length)] ?? best;
   const runnersUp = scored
     .filter(option => option !== chosen)
-    .slice(0, RUNNERS_UP);
-  const cached = sample.find(known => known.server === chosen.server);
+    .slice(0, MAX_RUNNERS_UP);
+  const chosenKnowledge = sample.find(known => known.server === chosen.server);
   const reason =
-    (cached?.cachedTokens ?? 0) > 0 ? 'cached-prefix' : 'earliest-first-token';
+    (chosenKnowledge?.cachedTokens ?? 0) > 0
+      ? 'cached-prefix'
+      : 'earliest-first-token';
   return {chosen, runnersUp, reason};
 };
 
 /**
- * Leaves out excluded and ejected servers; when that leaves none, ejected ones
- * count again, since a server that may fail beats none.
+ * Leaves out excluded and ejected servers. If no server remains, the ejected
+ * ones are returned: a server that may fail is better than none.
  */
 export function getUsable(
   request: RoutingRequest,
@@ -80,7 +95,10 @@
   return healthy.length > 0 ? healthy : allowed;
 }
 
-function score(request: RoutingRequest, known: ServerKnowledge): Option {
+function scoreServer(
+  request: RoutingRequest,
+  known: ServerKnowledge,
+): CostedServer {
   const {promptTokens, expectedTokens, slackMs} = request;
   const prediction = predictFirstToken(known, promptTokens, expectedTokens);
   const {queueMs, prefillMs, ownPrefillMs, waitMs} = prediction;
@@ -89,8 +107,8 @@
     slackMs === undefined
       ? firstTokenMs
       : firstTokenMs +
-        WORK_WEIGHT * ownPrefillMs +
-        LATE_WEIGHT * Math.max(0, firstTokenMs - slackMs);
+        OWN_PREFILL_WEIGHT * ownPrefillMs +
+        OVER_SLACK_WEIGHT * Math.max(0, firstTokenMs - slackMs);
   return {server: known.server, firstTokenMs, queueMs, waitMs, cost};
 }
 
@@ -98,7 +116,7 @@
   usable: readonly ServerKnowledge[],
   random: Random,
 ): readonly ServerKnowledge[] {
-  if (usable.length <= LOOK_AT_ALL) {
+  if (usable.length <= MAX_UNSAMPLED_SERVERS) {
     return usable;
   }
   return [...drawSample(usable, ({cachedTokens}) => cachedTokens, random)];
--- a/src/routing/draw_sample.ts
+++ b/src/routing/draw_sample.ts
@@ -1,29 +1,32 @@
 import {Random} from '../random/index.js';
 
-/** Up to this many servers are all looked at; of more, a sample. */
-export const LOOK_AT_ALL = 16;
+/** Up to this many servers are all considered; of more, only a sample. */
+export const MAX_UNSAMPLED_SERVERS = 16;
 /**
- * Servers drawn of more: the best of eight is close to the best of all, and hosts
- * that all see the same late word do not all choose the same one.
+ * Number of random draws when there are more servers. The best of eight is
+ * close to the best of all, and hosts that all see the same delayed load
+ * reports do not all choose the same server.
  */
-const DRAWN = 8;
-/** Servers that hold most of the prompt, looked at besides. */
-const HOLDERS = 2;
+const RANDOM_DRAWS = 8;
+/**
+ * Servers with most of the prompt cached that are added to the random draws.
+ */
+const MAX_PREFIX_HOLDERS = 2;
 
 /**
- * Draws servers to look at for a request: the best holders of its prompt, and some
- * by chance.
- * @param servers - Those that may get it.
+ * Draws the servers to consider for a request: those that have most of its
+ * prompt cached, and some random ones.
+ * @param servers - Servers that may get the request.
  * @param countCached - Counts the prompt's tokens that a server has cached.
- * @param random - Decides by chance.
+ * @param random - Source of the random draws.
  */
 export function drawSample<Server>(
   servers: readonly Server[],
   countCached: (server: Server) => number,
   random: Random,
 ): Set<Server> {
-  const sample = new Set(listHolders(servers, countCached));
-  for (let draw = 0; draw < DRAWN; draw++) {
+  const sample = new Set(listPrefixHolders(servers, countCached));
+  for (let draw = 0; draw < RANDOM_DRAWS; draw++) {
     const drawn = servers[Math.floor(random.next() * servers.length)];
     if (drawn !== undefined) {
       sample.add(drawn);
@@ -32,7 +35,7 @@
   return sample;
 }
 
-function listHolders<Server>(
+function listPrefixHolders<Server>(
   servers: readonly Server[],
   countCached: (server: Server) => number,
 ): Server[] {
@@ -44,5 +47,5 @@
     }
   }
   holders.sort((a, b) => b.cached - a.cached);
-  return holders.slice(0, HOLDERS).map(({server}) => server);
+  return holders.slice(0, MAX_PREFIX_HOLDERS).map(({server}) => server);
 }
--- a/src/routing/find_candidates.ts
+++ b/src/routing/find_candidates.ts
@@ -6,38 +6,45 @@
 } from '../configuration/index.js';
 import {LoadReport} from '../backend/index.js';
 
-/** What the search for candidates depends on. */
+/** Input of the search for candidate servers. */
 export interface CandidateSearch {
   readonly deployment: Deployment;
-  /** Adapter asked for; empty for none. */
+  /** Requested adapter; empty for none. */
   readonly adapter: string;
   readonly servers: readonly Server[];
   /** Returns whether a server is leaving and takes no new work. */
   readonly isLeaving: (server: string) => boolean;
-  /** Returns the last load of a server, which names its models. */
+  /** Returns the last load report of a server, which lists its models. */
   readonly getLoad: (server: string) => LoadReport | undefined;
 }
 
 /**
- * Finds the servers that may serve a deployment: in its data centres, among its
- * named servers, not leaving, and with its target loaded as far as is known.
- * @param search - What to search in.
+ * Finds the servers that may serve a deployment. Such a server is in one of the
+ * deployment's data centres, is one of its named servers (an empty list allows
+ * all), is not leaving, and provides the target according to its last load
+ * report. An engine without a load report qualifies only if the deployment
+ * names it.
+ * @param search - Input of the search.
  */
 export function findCandidates(search: CandidateSearch): Server[] {
   const {deployment} = search;
   const found: Server[] = [];
   for (const server of search.servers) {
-    const placed =
-      isNamed(deployment.dataCentres, server.dataCentre) &&
-      isNamed(deployment.servers, server.name);
-    if (placed && !search.isLeaving(server.name) && hasTarget(search, server)) {
+    const isAllowed =
+      isAllowedName(deployment.dataCentres, server.dataCentre) &&
+      isAllowedName(deployment.servers, server.name);
+    if (
+      isAllowed &&
+      !search.isLeaving(server.name) &&
+      hasTarget(search, server)
+    ) {
       found.push(server);
     }
   }
   return found;
 }
 
-function isNamed(names: readonly string[], name: string): boolean {
+function isAllowedName(names: readonly string[], name: string): boolean {
   return names.length === 0 || names.includes(name);
 }
 
@@ -51,7 +58,8 @@
   }
   const load = search.getLoad(server.name);
   if (load === undefined) {
-    // Not heard yet: try it only where the record names it.
+    // No current load report: try the server only if the deployment record
+    // names it.
     return search.deployment.servers.includes(server.name);
   }
   return load.models.some(
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,15 +1,17 @@
-/** Routing: which server gets a request, and what is known of servers. */
+/**
+ * Routing: choice of the server for a request, and what is known about servers.
+ */
 export * from './server_knowledge.js';
 export {chooseServer, getUsable} from './choose_server.js';
 export type {ChooseServer} from './choose_server.js';
 export {findCandidates} from './find_candidates.js';
 export type {CandidateSearch} from './find_candidates.js';
 export {OutlierDetector} from './outlier_detector.js';
-export {drawSample, LOOK_AT_ALL} from './draw_sample.js';
+export {drawSample, MAX_UNSAMPLED_SERVERS} from './draw_sample.js';
 export {predictFirstToken} from './predict_first_token.js';
 export {PrefixIndex} from './prefix_index.js';
 export {RetryBudget} from './retry_budget.js';
 export {ServerDirectory} from './server_directory.js';
 export type {Flight, ServerClients} from './server_directory.js';
 export {SharedRetryBudget} from './shared_retry_budget.js';
-export type {RetryBound} from './shared_retry_budget.js';
+export type {RetryLimit} from './shared_retry_budget.js';
--- a/src/routing/outlier_detector.ts
+++ b/src/routing/outlier_detector.ts
@@ -1,24 +1,27 @@
 import {Clock} from '../time/index.js';
 
-/** Failures in a row after which a server is taken out. */
+/** Consecutive failures after which a server is ejected. */
 const FAILURES_TO_EJECT = 3;
 const FIRST_EJECTION_MS = 2000;
 const MAX_EJECTION_MS = 30_000;
 
-/** Record of one server. */
+/** Failure record of one server. */
 interface Health {
   failuresInRow: number;
   ejections: number;
   ejectedUntilMs: number;
 }
 
-/** Takes out servers that fail several times in a row, for growing spans. */
+/**
+ * Ejects servers that fail several times in a row. The ejection time doubles
+ * with every ejection until the server succeeds once.
+ */
 export class OutlierDetector {
   private readonly health = new Map<string, Health>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Tells whether a server is taken out now. */
+  /** Returns whether a server is currently ejected. */
   isEjected(server: string): boolean {
     const health = this.health.get(server);
     return (
@@ -26,18 +29,19 @@
     );
   }
 
-  /** Counts a success. */
+  /** Records a success, which clears the failure record of the server. */
   addSuccess(server: string): void {
     this.health.delete(server);
   }
 
   /**
-   * Counts a failure; returns whether it has taken the server out.
+   * Records a failure.
    * @param server - The server.
-   * @param isSilent - Whether it could not be reached or fell silent, which
-   *   one failure is enough to show.
+   * @param isUnresponsive - Whether the server could not be reached or stopped
+   *   responding. One such failure is enough to eject it.
+   * @returns Whether the failure has ejected the server.
    */
-  addFailure(server: string, isSilent = false): boolean {
+  addFailure(server: string, isUnresponsive = false): boolean {
     const health = this.health.get(server) ?? {
       failuresInRow: 0,
       ejections: 0,
@@ -45,16 +49,16 @@
     };
     health.failuresInRow++;
     this.health.set(server, health);
-    if (!isSilent && health.failuresInRow < FAILURES_TO_EJECT) {
+    if (!isUnresponsive && health.failuresInRow < FAILURES_TO_EJECT) {
       return false;
     }
-    const spanMs = Math.min(
+    const ejectionMs = Math.min(
       MAX_EJECTION_MS,
       FIRST_EJECTION_MS * 2 ** health.ejections,
     );
     health.ejections++;
     health.failuresInRow = 0;
-    health.ejectedUntilMs = this.clock.monotonicMs() + spanMs;
+    health.ejectedUntilMs = this.clock.monotonicMs() + ejectionMs;
     return true;
   }
 }
--- a/src/routing/predict_first_token.ts
+++ b/src/routing/predict_first_token.ts
@@ -1,7 +1,7 @@
 import {ServerKnowledge} from './server_knowledge.js';
 
-/** Load assumed of a server that has not been heard yet. */
-const UNHEARD = {
+/** Load assumed for a server without a load report. */
+const DEFAULT_LOAD = {
   running: 0,
   waiting: 0,
   capacity: 8,
@@ -9,42 +9,46 @@
   decodeMs: 30,
 };
 
-/** A prediction, in milliseconds. */
+/** Predicted parts of the time to the first token, in milliseconds. */
 export interface FirstTokenPrediction {
   readonly queueMs: number;
-  /** Time for the prompts ahead and this one. */
+  /** Prefill time of the prompts ahead and of this one. */
   readonly prefillMs: number;
-  /** Part of it that this request's own prompt takes. */
+  /** Part of `prefillMs` for the prompt of this request. */
   readonly ownPrefillMs: number;
-  /** Time before it is begun with, without delays seen lately. */
+  /**
+   * Time until the prefill of this request starts, without recently observed
+   * delays.
+   */
   readonly waitMs: number;
 }
 
 /**
  * Predicts the time to the first token on a server.
  *
- * The published load lags; it is corrected by what this host has sent since,
- * which it knows exactly, and by the excess delay seen on recent answers.
- * @param known - What is known of the server.
+ * The published load is delayed. It is corrected by the requests this host has
+ * sent since, which it knows exactly, and by the excess delay observed on
+ * recent answers.
+ * @param known - What is known about the server.
  * @param promptTokens - Tokens of the prompt.
- * @param expectedTokens - Mean tokens of an answer, which sets how soon a
- *   place becomes free.
+ * @param expectedTokens - Mean tokens of an answer, which determine how soon a
+ *   slot becomes free.
  */
 export function predictFirstToken(
   known: ServerKnowledge,
   promptTokens: number,
   expectedTokens: number,
 ): FirstTokenPrediction {
-  const load = known.load ?? UNHEARD;
+  const load = known.load ?? DEFAULT_LOAD;
   const capacity = Math.max(1, load.capacity);
-  const present = Math.max(
+  const requestsAtServer = Math.max(
     load.running + load.waiting + known.sentSinceReport,
     known.inFlight,
   );
-  const ahead = Math.max(0, present + 1 - capacity);
+  const requestsAhead = Math.max(0, requestsAtServer + 1 - capacity);
   const occupancyMs = expectedTokens * load.decodeMs;
-  const placeMs = (ahead * occupancyMs) / capacity;
-  const queueMs = placeMs + known.excessMs;
+  const slotWaitMs = (requestsAhead * occupancyMs) / capacity;
+  const queueMs = slotWaitMs + known.excessMs;
   const uncached = Math.max(0, promptTokens - known.cachedTokens);
   const ownPrefillMs = (uncached * 1000) / load.prefillRate;
   const pendingMs = (known.pendingPrefillTokens * 1000) / load.prefillRate;
@@ -52,6 +56,6 @@
     queueMs,
     prefillMs: pendingMs + ownPrefillMs,
     ownPrefillMs,
-    waitMs: placeMs + pendingMs,
+    waitMs: slotWaitMs + pendingMs,
   };
 }
--- a/src/routing/prefix_index.ts
+++ b/src/routing/prefix_index.ts
@@ -1,31 +1,33 @@
 import {BLOCK_TOKENS, CacheEvent} from '../backend/index.js';
 
-/** Blocks remembered per server. */
+/** Maximum number of blocks kept per server. */
 const MAX_BLOCKS = 8192;
 
 /**
- * Which prefix blocks a server is believed to have cached.
+ * Index of the prefix blocks that a server is assumed to have cached.
  *
- * Filled by this host's own dispatches at once, and by the engine's cache
- * events, which come late and with gaps; the oldest belief is dropped first,
- * as the engine itself drops.
+ * Blocks are added when this host dispatches a prompt, and from the engine's
+ * cache events, which arrive delayed and with gaps. Beyond the maximum, the
+ * least recently added block is dropped first, as the engine itself does.
  */
 export class PrefixIndex {
   private readonly blocks = new Map<number, true>();
   private lastSequence = 0;
   private missed = 0;
 
-  /** Sequence number of the last cache event taken in. */
+  /** Returns the sequence number of the last applied cache event. */
   getLastSequence(): number {
     return this.lastSequence;
   }
 
-  /** Number of cache events that never came. */
+  /**
+   * Returns the number of cache events skipped by gaps in the sequence numbers.
+   */
   countMissed(): number {
     return this.missed;
   }
 
-  /** Counts the tokens of a prompt that are believed to be cached. */
+  /** Counts the leading tokens of a prompt that are assumed to be cached. */
   countCachedTokens(blocks: readonly number[]): number {
     let count = 0;
     for (const block of blocks) {
@@ -37,14 +39,17 @@
     return count * BLOCK_TOKENS;
   }
 
-  /** Notes that a prompt was sent, and so will be cached. */
+  /**
+   * Adds the blocks of a prompt that was sent to the server and will be cached
+   * there.
+   */
   addPrompt(blocks: readonly number[]): void {
     for (const block of blocks) {
       this.add(block);
     }
   }
 
-  /** Takes in cache events. */
+  /** Applies cache events; those with an old sequence number are ignored. */
   addEvents(events: readonly CacheEvent[]): void {
     for (const event of events) {
       if (event.sequence <= this.lastSequence) {
--- a/src/routing/retry_budget.ts
+++ b/src/routing/retry_budget.ts
@@ -1,14 +1,20 @@
 import {Clock} from '../time/index.js';
 
-/** Retries earned per request. */
+/** Retries added to the budget per request. */
 const RETRIES_PER_REQUEST = 0.1;
-/** Retries earned per second whatever the load, so that a quiet host can retry. */
+/**
+ * Retries added per second regardless of load, so that a host with few requests
+ * can retry.
+ */
 const RETRIES_PER_SECOND = 2;
-const MAX_SAVED = 50;
+const MAX_BALANCE = 50;
 
-/** Limits retries to a share of the requests, so that they cannot multiply load. */
+/**
+ * Limits retries to a share of the requests, so that retries cannot multiply
+ * the load.
+ */
 export class RetryBudget {
-  private saved = MAX_SAVED / 5;
+  private balance = MAX_BALANCE / 5;
   private refilledMs: number;
 
   constructor(private readonly clock: Clock) {
@@ -17,19 +23,19 @@
 
   /** Counts a first attempt. */
   addRequest(): void {
-    this.saved = Math.min(MAX_SAVED, this.saved + RETRIES_PER_REQUEST);
+    this.balance = Math.min(MAX_BALANCE, this.balance + RETRIES_PER_REQUEST);
   }
 
-  /** Spends one retry; returns whether there was one. */
+  /** Takes one retry from the budget; returns whether one was available. */
   spend(): boolean {
     const nowMs = this.clock.monotonicMs();
     const earned = ((nowMs - this.refilledMs) / 1000) * RETRIES_PER_SECOND;
-    this.saved = Math.min(MAX_SAVED, this.saved + earned);
+    this.balance = Math.min(MAX_BALANCE, this.balance + earned);
     this.refilledMs = nowMs;
-    if (this.saved < 1) {
+    if (this.balance < 1) {
       return false;
     }
-    this.saved--;
+    this.balance--;
     return true;
   }
 }
--- a/src/routing/server_directory.ts
+++ b/src/routing/server_directory.ts
@@ -5,56 +5,68 @@
 import {PrefixIndex} from './prefix_index.js';
 import {ServerKnowledge} from './server_knowledge.js';
 
-/** Makes the client of a server. */
+/** Creates the client of a server. */
 export interface ServerClients {
   readonly createEngine: (server: Server) => ModelEngine;
   readonly createService: (server: Server) => PlainService;
 }
 
-/** A request in flight, closed once by `finish`. */
+/** An in-flight request at a server. Only the first call of `finish` counts. */
 export interface Flight {
-  /** Tells that the first token came, after this many ms, predicted as that. */
+  /**
+   * Records the time to the first token and its prediction, in milliseconds.
+   */
   addFirstToken(tookMs: number, predictedMs: number): void;
-  /** Ends the flight and counts its success or failure. */
+  /** Ends the request and counts its success or failure. */
   finish(succeeded: boolean): void;
 }
 
-/** A server with all that is known of it. */
+/** A server with what is known about it. */
 interface TrackedServer {
   server: Server;
   readonly engine?: ModelEngine;
   readonly service?: PlainService;
   readonly prefixes: PrefixIndex;
   load?: LoadReport;
-  /** When the report was made, monotonic ms. */
+  /** When the load report was made, in monotonic milliseconds. */
   loadMadeMs: number;
-  /** Times at which this host sent requests, newest last. */
+  /**
+   * Times at which this host sent the requests since the load report, in
+   * monotonic milliseconds; newest last.
+   */
   sentMs: number[];
   inFlight: number;
   pendingPrefillTokens: number;
   excessMs: number;
 }
 
-/** A load report older than this is not used, in milliseconds. */
+/** Maximum age of a load report that is used. */
 const LOAD_MAX_AGE_MS = 10_000;
 /** Weight of the newest sample in the smoothed excess delay. */
 const EXCESS_WEIGHT = 0.3;
-/** Cost of a server in another data centre: the hop, and staler load. */
-const HOP_MS = 25;
-/** Send times kept per server; more than its reports can lag behind. */
+/**
+ * Cost of a server in another data centre: the network hop, and older load
+ * reports.
+ */
+const CROSS_DATA_CENTRE_COST_MS = 25;
+/**
+ * Maximum number of send times kept per server: more than its reports can lag
+ * behind.
+ */
 const MAX_SENT_TIMES = 512;
 
-/** All backend servers of the configuration, with what is known of each. */
+/** All backend servers of the configuration, with what is known about each. */
 export class ServerDirectory {
   private readonly tracked = new Map<string, TrackedServer>();
   private readonly outliers: OutlierDetector;
 
   /**
-   * @param clients - Makes the clients of servers.
-   * @param clock - Measures ages and flights.
+   * @param clients - Creates the clients of servers.
+   * @param clock - Clock for the age of load reports and the send times of
+   *   requests.
    * @param dataCentre - Data centre of this host.
-   * @param countHosts - Returns how many hosts send to the servers; the others
-   *   are taken to send as much as this one until their load is reported.
+   * @param countHosts - Returns how many hosts send to the servers. The others
+   *   are assumed to send as much as this one until their load is reported.
    */
   constructor(
     private readonly clients: ServerClients,
@@ -65,7 +77,10 @@
     this.outliers = new OutlierDetector(clock);
   }
 
-  /** Takes over the servers of a new revision. */
+  /**
+   * Replaces the servers by those of a new configuration revision. A server
+   * whose address is unchanged keeps its state.
+   */
   setServers(servers: Iterable<Server>): void {
     const wanted = new Set<string>();
     for (const server of servers) {
@@ -75,7 +90,7 @@
         known.server = server;
         continue;
       }
-      this.tracked.set(server.name, this.track(server));
+      this.tracked.set(server.name, this.createTrackedServer(server));
     }
     for (const name of this.tracked.keys()) {
       if (!wanted.has(name)) {
@@ -89,7 +104,10 @@
     return [...this.tracked.values()].map(tracked => tracked.server);
   }
 
-  /** Returns how operators describe a server, if they still do. */
+  /**
+   * Returns the configuration record of a server; `undefined` if it was
+   * removed.
+   */
   getServer(name: string): Server | undefined {
     return this.tracked.get(name)?.server;
   }
@@ -104,7 +122,9 @@
     return this.tracked.get(name)?.service;
   }
 
-  /** Returns the last load of a server and its age in milliseconds. */
+  /**
+   * Returns the last load report of a server and its age, unless it is too old.
+   */
   getLoad(
     name: string,
   ): {readonly load: LoadReport; readonly ageMs: number} | undefined {
@@ -116,26 +136,26 @@
     return ageMs > LOAD_MAX_AGE_MS ? undefined : {load: tracked.load, ageMs};
   }
 
-  /** Returns the prefixes a server is believed to have cached. */
+  /** Returns the prefixes that a server is assumed to have cached. */
   getPrefixes(name: string): PrefixIndex | undefined {
     return this.tracked.get(name)?.prefixes;
   }
 
-  /** Returns the requests of this host in flight at a server. */
+  /** Counts the in-flight requests of this host at a server. */
   countInFlight(name: string): number {
     return this.tracked.get(name)?.inFlight ?? 0;
   }
 
-  /** Tells whether a server is taken out for failing. */
+  /** Returns whether a server is ejected after failures. */
   isEjected(name: string): boolean {
     return this.outliers.isEjected(name);
   }
 
   /**
-   * Takes in a load report.
-   * @param name - Server it is of.
+   * Stores a load report, unless a newer one of the server is known.
+   * @param name - Server that the report describes.
    * @param load - The report.
-   * @param ageMs - Time since it was made, in milliseconds.
+   * @param ageMs - Time since the report was made, in milliseconds.
    */
   addLoad(name: string, load: LoadReport, ageMs: number): void {
     const tracked = this.tracked.get(name);
@@ -147,13 +167,14 @@
     tracked.loadMadeMs = madeMs;
     tracked.sentMs = tracked.sentMs.filter(sentMs => sentMs > madeMs);
     if (load.waiting === 0 && load.running < load.capacity) {
-      // A server that has room owes no excess: forget it.
+      // A server with free capacity has no reason for excess delay: let the old
+      // value decay.
       tracked.excessMs *= 1 - EXCESS_WEIGHT;
     }
   }
 
   /**
-   * Tells what is known of servers, for a choice among them.
+   * Returns what is known about servers, for a choice among them.
    * @param names - The candidates.
    * @param blocks - Prefix blocks of the prompt; empty for a service call.
    */
@@ -168,17 +189,20 @@
       if (tracked === undefined) {
         continue;
       }
-      const heard = this.getLoad(name);
+      const recent = this.getLoad(name);
       known.push({
         server: name,
         dataCentre: tracked.server.dataCentre,
-        ...(heard === undefined ? {} : {load: heard.load}),
+        ...(recent === undefined ? {} : {load: recent.load}),
         sentSinceReport: tracked.sentMs.length * hosts,
         inFlight: tracked.inFlight,
         cachedTokens: tracked.prefixes.countCachedTokens(blocks),
         pendingPrefillTokens: tracked.pendingPrefillTokens * hosts,
         excessMs: tracked.excessMs,
-        hopMs: tracked.server.dataCentre === this.dataCentre ? 0 : HOP_MS,
+        hopMs:
+          tracked.server.dataCentre === this.dataCentre
+            ? 0
+            : CROSS_DATA_CENTRE_COST_MS,
         ejected: this.isEjected(name),
       });
     }
@@ -186,10 +210,11 @@
   }
 
   /**
-   * Notes that a request is sent to a server.
+   * Records that a request is sent to a server.
    * @param name - The server.
    * @param blocks - Prefix blocks of the prompt.
-   * @param prefillTokens - Tokens it has to compute before the first answer.
+   * @param prefillTokens - Prompt tokens it has to compute before the first
+   *   token.
    */
   startFlight(
     name: string,
@@ -207,8 +232,9 @@
     }
     tracked.pendingPrefillTokens += prefillTokens;
     tracked.prefixes.addPrompt(blocks);
-    // The prediction counted the excess seen so far; a sample must not.
-    const assumedMs = tracked.excessMs;
+    // The prediction includes the excess observed so far; a new sample must not
+    // include it.
+    const predictedExcessMs = tracked.excessMs;
     let pending = prefillTokens;
     let open = true;
     const endPrefill = () => {
@@ -218,7 +244,10 @@
     return {
       addFirstToken: (tookMs, predictedMs) => {
         endPrefill();
-        const excessMs = Math.max(0, tookMs - (predictedMs - assumedMs));
+        const excessMs = Math.max(
+          0,
+          tookMs - (predictedMs - predictedExcessMs),
+        );
         tracked.excessMs += (excessMs - tracked.excessMs) * EXCESS_WEIGHT;
       },
       finish: succeeded => {
@@ -237,7 +266,7 @@
     };
   }
 
-  private track(server: Server): TrackedServer {
+  private createTrackedServer(server: Server): TrackedServer {
     const client =
       server.kind === ServerKind.ENGINE
         ? {engine: this.clients.createEngine(server)}
--- a/src/routing/server_knowledge.ts
+++ b/src/routing/server_knowledge.ts
@@ -1,39 +1,56 @@
 import {LoadReport} from '../backend/index.js';
 
-/** What this host knows of one server when it chooses. */
+/** What this host knows about a server when it chooses one. */
 export interface ServerKnowledge {
   readonly server: string;
   readonly dataCentre: string;
-  /** Last load it published; absent until one was heard. */
+  /** Last load report of the server; absent if none is recent. */
   readonly load?: LoadReport;
-  /** Requests this host has sent it since that report was made. */
+  /**
+   * Requests sent to the server since the load report was made, as estimated
+   * for all hosts from those of this one.
+   */
   readonly sentSinceReport: number;
-  /** Requests of this host in flight there: exact, but only its own. */
+  /**
+   * In-flight requests of this host at the server: exact, but without other
+   * hosts.
+   */
   readonly inFlight: number;
-  /** Prompt tokens it is believed to have cached. */
+  /** Tokens of the prompt that the server is assumed to have cached. */
   readonly cachedTokens: number;
-  /** Prompt tokens this host has sent it that are not yet computed. */
+  /**
+   * Prompt tokens sent to the server and not yet computed, as estimated for all
+   * hosts.
+   */
   readonly pendingPrefillTokens: number;
-  /** Extra delay seen on its answers beyond the prediction, smoothed, in ms. */
+  /** Smoothed delay of its answers beyond the prediction, in milliseconds. */
   readonly excessMs: number;
-  /** Extra milliseconds to reach it, when it stands in another data centre. */
+  /**
+   * Additional cost in milliseconds if the server is in another data centre.
+   */
   readonly hopMs: number;
-  /** Whether it has been taken out for failing. */
+  /**
+   * Whether the server is ejected after failures, or stalled. It is then used
+   * only if no other server is left.
+   */
   readonly ejected: boolean;
 }
 
-/** What the choice depends on, of the request. */
+/** Properties of a request on which the choice of a server depends. */
 export interface RoutingRequest {
   readonly promptTokens: number;
   /** Mean tokens of an answer of this deployment. */
   readonly expectedTokens: number;
   /** Hash of the first blocks of the prompt; absent for short prompts. */
   readonly prefix?: number;
-  /** Servers that have failed this request, or that it must avoid. */
+  /**
+   * Servers that must not get the request, for example after they failed it.
+   */
   readonly excluded: ReadonlySet<string>;
   /**
-   * Time to the first token within which the caller loses nothing, in
-   * milliseconds; left out, the earliest first token always wins.
+   * Time to the first token, in milliseconds, up to which an earlier one has no
+   * benefit for the caller. If absent, the earliest predicted first token is
+   * always preferred.
    */
   readonly slackMs?: number;
 }
@@ -41,17 +58,23 @@
 /** A server with its predicted time to the first token. */
 export interface ScoredServer {
   readonly server: string;
-  /** Predicted milliseconds to the first token. */
+  /** Predicted time to the first token, in milliseconds. */
   readonly firstTokenMs: number;
-  /** Part of it spent waiting for a place. */
+  /**
+   * Part of `firstTokenMs` for queueing: waiting for a free slot, and excess
+   * delay.
+   */
   readonly queueMs: number;
-  /** Time before the server begins with its prompt, without delays seen lately. */
+  /**
+   * Time until the server starts the prefill of the request, without recently
+   * observed delays, in milliseconds.
+   */
   readonly waitMs?: number;
 }
 
-/** A decision, with what was weighed, for the log. */
+/** A routing decision, with the considered alternatives for the log. */
 export interface RoutingDecision {
-  /** Absent when no server can be used. */
+  /** Absent if no server can be used. */
   readonly chosen?: ScoredServer;
   readonly runnersUp: readonly ScoredServer[];
   readonly reason: string;
--- a/src/routing/shared_retry_budget.ts
+++ b/src/routing/shared_retry_budget.ts
@@ -1,36 +1,46 @@
 import {Clock} from '../time/index.js';
 
-/** Bound on retries over all hosts, as one host takes its part of it. */
-export interface RetryBound {
+/**
+ * Limit on the retries of all hosts together, from which each host derives its
+ * part.
+ */
+export interface RetryLimit {
   /** Retries allowed per request. */
   readonly ratio: number;
-  /** Span in which requests and retries are counted, in milliseconds. */
+  /** Window in which requests and retries are counted, in milliseconds. */
   readonly windowMs: number;
-  /** Retries allowed in a span besides, over all hosts. */
+  /** Additional retries allowed per window, over all hosts. */
   readonly slack: number;
-  /** Hosts among which the slack is divided. */
+  /** Number of hosts among which the slack is divided. */
   readonly hosts: number;
 }
 
-/** Times of one service's requests and retries, oldest first. */
+/**
+ * Times of one service's requests and retries, in monotonic milliseconds,
+ * oldest first.
+ */
 interface Traffic {
   readonly requestsMs: number[];
   readonly retriesMs: number[];
 }
 
-/** Share of the bound that is used, for hosts that come and go. */
-const SAFE_SHARE = 0.8;
+/**
+ * Share of the limit that is used; the rest is a reserve for hosts that join
+ * and leave.
+ */
+const SAFETY_SHARE = 0.8;
 
 /**
- * Keeps retries of each service below a share of its requests over all hosts:
- * each host spends the share of its own requests and its part of the slack.
+ * Keeps the retries of each service over all hosts below a share of its
+ * requests: each host may retry that share of its own requests, plus its part
+ * of the slack.
  */
 export class SharedRetryBudget {
   private readonly traffic = new Map<string, Traffic>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly getBound: () => RetryBound,
+    private readonly getLimit: () => RetryLimit,
   ) {}
 
   /** Counts a request of a service. */
@@ -38,16 +48,16 @@
     this.getTraffic(service).requestsMs.push(this.clock.monotonicMs());
   }
 
-  /** Spends one retry; returns whether there was one. */
+  /** Takes one retry from the budget; returns whether one was available. */
   spend(service: string): boolean {
-    const bound = this.getBound();
+    const limit = this.getLimit();
     const traffic = this.getTraffic(service);
-    const oldestMs = this.clock.monotonicMs() - bound.windowMs;
+    const oldestMs = this.clock.monotonicMs() - limit.windowMs;
     dropBefore(traffic.requestsMs, oldestMs);
     dropBefore(traffic.retriesMs, oldestMs);
-    const earned = bound.ratio * traffic.requestsMs.length;
-    const own = bound.slack / Math.max(1, bound.hosts);
-    if (traffic.retriesMs.length + 1 > (earned + own) * SAFE_SHARE) {
+    const earned = limit.ratio * traffic.requestsMs.length;
+    const slackShare = limit.slack / Math.max(1, limit.hosts);
+    if (traffic.retriesMs.length + 1 > (earned + slackShare) * SAFETY_SHARE) {
       return false;
     }
     traffic.retriesMs.push(this.clock.monotonicMs());
--- a/test/fleet/fleet_test.ts
+++ b/test/fleet/fleet_test.ts
@@ -5,7 +5,7 @@
   FleetState,
   FlightEnd,
   HostLoad,
-  PartNews,
+  PartUpdates,
   PromptPart,
 } from '../../src/fleet/index.js';
 import {SilentLog} from '../../src/log/index.js';
@@ -64,7 +64,7 @@
       .find(known => known.server === id);
   }
 
-  it('counts a part that a peer has sent to a server as cached there', () => {
+  it('counts a part that a peer reports as sent to a server as cached there', () => {
     for (const server of ['a', 'b']) {
       fleet.addPeerParts([{server, part: shared}]);
     }
@@ -72,12 +72,12 @@
     expect(getKnowledge('b')?.cachedTokens).to.equal(5000);
   });
 
-  it('tells peers the shared parts that it sends, not what is a request’s own', () => {
+  it('lists the shared parts that it sends, without the part specific to the request', () => {
     fleet.startFlight('a', [shared, own], 0);
     expect(fleet.listSentParts()).to.deep.equal([{server: 'a', part: shared}]);
   });
 
-  it('counts before a request what is as urgent, not what is less', () => {
+  it('counts pending tokens of the same rank and of more urgent ones as ahead of a request', () => {
     fleet.startFlight('a', [{id: 'x', tokens: 9000}], 0, 2);
     fleet.startFlight('a', [{id: 'y', tokens: 4000}], 0, 1);
     peerLoads = [
@@ -100,7 +100,7 @@
     ]);
   });
 
-  it('takes a peer’s prompts for computed as time goes by', () => {
+  it('subtracts the tokens that a server has computed since the report of a peer', () => {
     peerLoads = [
       {
         server: 'a',
@@ -131,7 +131,7 @@
   });
 });
 
-describe('Fleet, when a server starts again under its name', () => {
+describe('Fleet, when a server restarts under the same name', () => {
   let clock: VirtualClock;
   let fleet: Fleet;
   let states: string[];
@@ -145,7 +145,7 @@
     fleet.addListener(({id, state}) => states.push(`${id} ${state}`));
   });
 
-  function start(startedMs: number, state: FleetState = FleetState.READY) {
+  function register(startedMs: number, state: FleetState = FleetState.READY) {
     fleet.set(
       {
         id: createStartId('a', startedMs),
@@ -162,8 +162,8 @@
     );
   }
 
-  it('ends the start before it and knows nothing of it any more', async () => {
-    start(1000);
+  it('terminates the previous incarnation and carries nothing over from it', async () => {
+    register(1000);
     const flight = fleet.startFlight('a@1000', [shared, own], 0);
     flight.addFirstByte(9000);
     for (let failures = 0; failures < 3; failures++) {
@@ -178,7 +178,7 @@
         ageMs: 0,
       },
     ];
-    start(2000);
+    register(2000);
     expect(states).to.deep.equal([
       'a@1000 ready',
       'a@1000 ended',
@@ -194,28 +194,28 @@
       ejected: false,
     });
     expect(known[0]?.load?.running).to.equal(0);
-    // Only the credit of the home that all hosts agree on.
+    // Only what the preferred server of the prompt is assumed to have cached.
     expect(known[0]?.cachedTokens).to.equal(shared.tokens / 2);
   });
 
-  it('is not taken back by an earlier start’s entry that is heard late', () => {
-    start(2000);
-    start(1000, FleetState.DRAINING);
-    start(1000);
+  it('ignores a delayed entry of an earlier incarnation', () => {
+    register(2000);
+    register(1000, FleetState.DRAINING);
+    register(1000);
     expect(states).to.deep.equal(['a@2000 ready']);
   });
 
-  it('is ended by an entry that does not say which start it is', () => {
-    start(2000);
-    start(0);
+  it('unregisters the server when an entry has no start time', () => {
+    register(2000);
+    register(0);
     expect(states).to.deep.equal(['a@2000 ready', 'a@2000 gone']);
     expect(fleet.listKnowledge(SERVICE, {parts: []})).to.have.length(0);
   });
 
-  it('is back when its entry had only lapsed', () => {
-    start(2000);
+  it('restores the server when its entry had only expired', () => {
+    register(2000);
     fleet.remove('a', 'test');
-    start(2000);
+    register(2000);
     expect(states).to.deep.equal([
       'a@2000 ready',
       'a@2000 gone',
@@ -223,15 +223,15 @@
     ]);
   });
 
-  it('takes no earlier start for new after its entry has ended', () => {
-    start(2000);
+  it('ignores an earlier incarnation also after the entry has ended', () => {
+    register(2000);
     fleet.remove('a', 'test');
-    start(1000);
+    register(1000);
     expect(states).to.deep.equal(['a@2000 ready', 'a@2000 gone']);
   });
 
-  it('forgets a start at last, with its name', async () => {
-    start(2000);
+  it('removes an unregistered incarnation after the retention time', async () => {
+    register(2000);
     fleet.remove('a', 'test');
     await clock.advance(70_000);
     fleet.remove('b', 'test');
@@ -240,25 +240,28 @@
 });
 
 describe('PartNews', () => {
-  it('tells a part once a server, for a while', async () => {
+  it('lists a part once per server, for a limited time', async () => {
     const clock = new VirtualClock();
-    const news = new PartNews(clock);
-    news.add('a', [shared, own]);
-    news.add('a', [shared, own]);
-    news.add('b', [shared, own]);
-    expect(news.list().map(({server}) => server)).to.have.members(['a', 'b']);
+    const updates = new PartUpdates(clock);
+    updates.add('a', [shared, own]);
+    updates.add('a', [shared, own]);
+    updates.add('b', [shared, own]);
+    expect(updates.list().map(({server}) => server)).to.have.members([
+      'a',
+      'b',
+    ]);
     await clock.advance(1500);
-    expect(news.list()).to.deep.equal([]);
+    expect(updates.list()).to.deep.equal([]);
   });
 
-  it('leaves out short parts and bounds what is told', () => {
-    const news = new PartNews(new VirtualClock());
-    news.add('a', [{id: 'short', tokens: 10}, own]);
-    expect(news.list()).to.deep.equal([]);
+  it('omits short parts and bounds the number of listed parts', () => {
+    const updates = new PartUpdates(new VirtualClock());
+    updates.add('a', [{id: 'short', tokens: 10}, own]);
+    expect(updates.list()).to.deep.equal([]);
     for (let index = 0; index < 500; index++) {
-      news.add('a', [{id: `p${index}`, tokens: 200}, own]);
+      updates.add('a', [{id: `p${index}`, tokens: 200}, own]);
     }
-    expect(news.list()).to.have.length(64);
-    expect(news.list().map(({part}) => part.id)).to.include('p499');
+    expect(updates.list()).to.have.length(64);
+    expect(updates.list().map(({part}) => part.id)).to.include('p499');
   });
 });
--- a/test/routing/choose_server_test.ts
+++ b/test/routing/choose_server_test.ts
@@ -36,7 +36,7 @@
     };
   }
 
-  function doTest(
+  function choose(
     servers: readonly ServerKnowledge[],
     excluded: readonly string[] = [],
   ): string | undefined {
@@ -48,34 +48,34 @@
     return chooseServer(request, servers, new SeededRandom(1)).chosen?.server;
   }
 
-  it('prefers a cached prefix while its queue costs less than it saves', () => {
+  it('prefers a server with the prefix cached while its queue costs less than the prefix saves', () => {
     const holder = server('holder', {cachedTokens: 900});
-    expect(doTest([server('other'), holder])).to.equal('holder');
+    expect(choose([server('other'), holder])).to.equal('holder');
     const queued = {...holder, sentSinceReport: 20};
-    expect(doTest([server('other'), queued])).to.equal('other');
+    expect(choose([server('other'), queued])).to.equal('other');
   });
 
-  it('corrects a late report by what it has sent since', () => {
+  it('corrects a delayed load report by the requests sent since', () => {
     const sent = server('sent', {sentSinceReport: 12});
-    expect(doTest([sent, server('free')])).to.equal('free');
+    expect(choose([sent, server('free')])).to.equal('free');
   });
 
-  it('takes another data centre only when it answers earlier all the same', () => {
+  it('chooses another data centre only if it answers earlier despite the hop', () => {
     const far = server('far', {hopMs: 25});
-    expect(doTest([server('here'), far])).to.equal('here');
-    expect(doTest([server('here', {sentSinceReport: 30}), far])).to.equal(
+    expect(choose([server('here'), far])).to.equal('here');
+    expect(choose([server('here', {sentSinceReport: 30}), far])).to.equal(
       'far',
     );
   });
 
-  it('passes over servers that fail, but never over all of them', () => {
+  it('skips ejected servers unless all are ejected', () => {
     const bad = server('bad', {ejected: true});
-    expect(doTest([bad, server('good')])).to.equal('good');
-    expect(doTest([bad])).to.equal('bad');
+    expect(choose([bad, server('good')])).to.equal('good');
+    expect(choose([bad])).to.equal('bad');
   });
 
-  describe('with slack before the target', () => {
-    function chooseWithin(
+  describe('with slack', () => {
+    function chooseWithSlack(
       slackMs: number,
       servers: readonly ServerKnowledge[],
     ): string | undefined {
@@ -88,41 +88,44 @@
       return chooseServer(request, servers, new SeededRandom(1)).chosen?.server;
     }
 
-    // 900 cached tokens save 90 ms; the prompt ahead takes 150 ms.
+    // The 900 cached tokens save 90 ms of prefill; the prompt ahead takes 150
+    // ms.
     const holder = server('holder', {
       cachedTokens: 900,
       pendingPrefillTokens: 1500,
     });
 
-    it('waits behind another prompt where that saves prefill', () => {
-      expect(chooseWithin(300, [server('other'), holder])).to.equal('holder');
+    it('accepts waiting for another prompt where that saves prefill', () => {
+      expect(chooseWithSlack(300, [server('other'), holder])).to.equal(
+        'holder',
+      );
     });
 
-    it('does not wait past the slack', () => {
-      expect(chooseWithin(50, [server('other'), holder])).to.equal('other');
+    it('does not accept waiting beyond the slack', () => {
+      expect(chooseWithSlack(50, [server('other'), holder])).to.equal('other');
     });
 
-    it('does not wait where nothing is saved', () => {
+    it('does not accept waiting where no prefill is saved', () => {
       const queued = server('queued', {pendingPrefillTokens: 1500});
-      expect(chooseWithin(300, [queued, server('other')])).to.equal('other');
+      expect(chooseWithSlack(300, [queued, server('other')])).to.equal('other');
     });
   });
 
-  it('chooses none when all are excluded', () => {
-    expect(doTest([server('a')], ['a'])).to.equal(undefined);
+  it('chooses no server if all are excluded', () => {
+    expect(choose([server('a')], ['a'])).to.equal(undefined);
   });
 });
 
 describe('OutlierDetector', () => {
-  it('takes a server out after three failures in a row, for growing spans', async () => {
+  it('ejects a server after three consecutive failures, each time for longer', async () => {
     const clock = new VirtualClock();
     const detector = new OutlierDetector(clock);
-    const failThrice = () =>
+    const failThreeTimes = () =>
       [1, 2, 3].map(() => detector.addFailure('a')).includes(true);
-    expect(failThrice()).to.equal(true);
+    expect(failThreeTimes()).to.equal(true);
     await clock.advance(2001);
     expect(detector.isEjected('a')).to.equal(false);
-    failThrice();
+    failThreeTimes();
     await clock.advance(2001);
     expect(detector.isEjected('a')).to.equal(true);
     detector.addSuccess('a');
@@ -131,7 +134,7 @@
 });
 
 describe('RetryBudget', () => {
-  it('allows a share of the requests and runs dry', () => {
+  it('allows retries for a share of the requests and is used up', () => {
     const budget = new RetryBudget(new VirtualClock());
     let spent = 0;
     while (budget.spend()) {
@@ -148,7 +151,7 @@
 });
 
 describe('PrefixIndex', () => {
-  it('follows late events, counts gaps and forgets what was evicted', () => {
+  it('applies delayed events, counts gaps and removes evicted blocks', () => {
     const index = new PrefixIndex();
     index.addPrompt([1, 2, 3]);
     expect(index.countCachedTokens([1, 2, 3, 4])).to.equal(48);
--- a/test/routing/shared_retry_budget_test.ts
+++ b/test/routing/shared_retry_budget_test.ts
@@ -5,7 +5,7 @@
 describe('SharedRetryBudget', () => {
   const bound = {ratio: 0.2, windowMs: 10_000, slack: 56, hosts: 8};
 
-  it('keeps all hosts together below the bound while everything fails', async () => {
+  it('keeps the retries of all hosts below the limit while every request fails', async () => {
     const clock = new VirtualClock();
     const hosts = Array.from(
       {length: bound.hosts},
@@ -30,15 +30,15 @@
     expect(inWindow.length).to.be.lessThan(allowed);
   });
 
-  it('gives a quiet host its part of the slack', () => {
+  it('allows a host without requests its part of the slack', () => {
     const budget = new SharedRetryBudget(new VirtualClock(), () => bound);
     expect(budget.spend('ledger')).to.equal(true);
   });
 
-  it('counts services apart', () => {
+  it('counts each service separately', () => {
     const budget = new SharedRetryBudget(new VirtualClock(), () => bound);
     while (budget.spend('ledger')) {
-      // Spends all.
+      // Uses up the budget.
     }
     expect(budget.spend('desk')).to.equal(true);
   });
