--- a/src/placement/decide_placement.ts
+++ b/src/placement/decide_placement.ts
@@ -1,19 +1,19 @@
 import {LoadedModel} from '../backend/index.js';
 import {Deployment, ModelTarget, TargetKind} from '../configuration/index.js';
 
-/** An engine that models can be placed on. */
+/** An engine on which models can be placed. */
 export interface PlaceableServer {
   readonly name: string;
   readonly dataCentre: string;
-  /** What it has loaded, as last reported. */
+  /** Models it has loaded, as last reported. */
   readonly models: readonly LoadedModel[];
   /** Whether it takes new work. */
   readonly usable: boolean;
-  /** Whether an order to it is under way. */
+  /** Whether an order to it is in flight. */
   readonly busy: boolean;
 }
 
-/** A wanted change of what a server has loaded. */
+/** An order to a server to load a model or an adapter. */
 export interface PlacementOrder {
   readonly server: string;
   readonly deployment: string;
@@ -24,22 +24,24 @@
   readonly reason: string;
 }
 
-/** Limits on what may change at once. */
+/** Limits on concurrent changes. */
 export interface PlacementLimits {
-  /** Loads that the weight store allows to start now. */
+  /** Number of loads that the weight store allows to start now. */
   readonly loads: number;
 }
 
 /**
- * Decides which orders to give now.
+ * Decides which orders to send now.
  *
- * Every order is convergent: given twice, it changes nothing the second time.
- * A deployment gets replicas in each of its data centres; a new version
- * replaces the old on one server at a time, and only while the others of that
- * data centre go on serving, so that no capacity is lost at once.
- * @param deployments - All deployments.
+ * Every order is idempotent: sent twice, it changes nothing the second time. A
+ * deployment gets replicas in each of its data centres. A new version replaces
+ * the old one on one server per data centre at a time, while the other servers
+ * of that data centre continue to serve, so that the capacity is not lost all
+ * at once. A data centre's only server is updated despite the interruption.
+ * @param deployments - All deployments; the most urgent ones get their orders
+ *   first.
  * @param servers - All engines.
- * @param limits - Limits.
+ * @param limits - Limits on concurrent changes.
  */
 export function decidePlacement(
   deployments: Iterable<Deployment>,
@@ -59,8 +61,13 @@
     if (target.kind !== TargetKind.MODEL) {
       continue;
     }
-    for (const group of groupByCentre(deployment, servers)) {
-      for (const order of decideCentre(deployment, target, group, busy)) {
+    for (const group of groupByDataCentre(deployment, servers)) {
+      for (const order of decideForDataCentre(
+        deployment,
+        target,
+        group,
+        busy,
+      )) {
         if (orders.length >= limits.loads) {
           return orders;
         }
@@ -72,58 +79,65 @@
   return orders;
 }
 
-/** Decides for the servers of one data centre. */
-function decideCentre(
+/** Decides on the orders to the servers of one data centre. */
+function decideForDataCentre(
   deployment: Deployment,
   target: ModelTarget,
   group: readonly PlaceableServer[],
   busy: ReadonlySet<string>,
 ): PlacementOrder[] {
   const usable = group.filter(server => server.usable);
-  const serving = usable.filter(server => has(server, target));
+  const serving = usable.filter(server => hasVersion(server, target));
   const outdated = usable.filter(
-    server => hasModel(server, target) && !has(server, target),
+    server => hasModel(server, target) && !hasVersion(server, target),
   );
-  const missing = serving.find(
+  const incomplete = serving.find(
     server => findMissingAdapter(server, target) !== undefined,
   );
-  if (missing !== undefined && !busy.has(missing.name)) {
-    const adapter = findMissingAdapter(missing, target);
-    const order = createOrder(missing, deployment, target, 'adapter-missing');
+  if (incomplete !== undefined && !busy.has(incomplete.name)) {
+    const adapter = findMissingAdapter(incomplete, target);
+    const order = createOrder(
+      incomplete,
+      deployment,
+      target,
+      'adapter-missing',
+    );
     return adapter === undefined ? [] : [{...order, adapter}];
   }
-  const rolling = outdated.some(server => busy.has(server.name));
+  const isRollingOut = outdated.some(server => busy.has(server.name));
   const candidate = outdated.find(server => !busy.has(server.name));
-  if (candidate !== undefined && !rolling) {
-    const left = serving.length + outdated.length - 1;
-    // With one server alone there is no way round a gap.
-    const keeps = left > 0 || outdated.length + serving.length === 1;
-    return keeps
+  if (candidate !== undefined && !isRollingOut) {
+    const remaining = serving.length + outdated.length - 1;
+    // With a single server, an interruption cannot be avoided.
+    const keepsServing =
+      remaining > 0 || outdated.length + serving.length === 1;
+    return keepsServing
       ? [createOrder(candidate, deployment, target, 'version-rollout')]
       : [];
   }
-  const wanted = deployment.replicas - serving.length - outdated.length;
-  const free = usable.filter(
+  const missingReplicas =
+    deployment.replicas - serving.length - outdated.length;
+  const available = usable.filter(
     server => !hasModel(server, target) && !busy.has(server.name),
   );
-  free.sort((a, b) => a.models.length - b.models.length);
-  return free
-    .slice(0, Math.max(0, wanted))
+  available.sort((a, b) => a.models.length - b.models.length);
+  return available
+    .slice(0, Math.max(0, missingReplicas))
     .map(server => createOrder(server, deployment, target, 'replica-missing'));
 }
 
-function groupByCentre(
+function groupByDataCentre(
   deployment: Deployment,
   servers: readonly PlaceableServer[],
 ): PlaceableServer[][] {
   const groups = new Map<string, PlaceableServer[]>();
   for (const server of servers) {
-    const placed =
+    const isAllowed =
       (deployment.dataCentres.length === 0 ||
         deployment.dataCentres.includes(server.dataCentre)) &&
       (deployment.servers.length === 0 ||
         deployment.servers.includes(server.name));
-    if (placed) {
+    if (isAllowed) {
       const group = groups.get(server.dataCentre) ?? [];
       group.push(server);
       groups.set(server.dataCentre, group);
@@ -136,7 +150,7 @@
   return server.models.some(model => model.name === target.model);
 }
 
-function has(server: PlaceableServer, target: ModelTarget): boolean {
+function hasVersion(server: PlaceableServer, target: ModelTarget): boolean {
   return server.models.some(
     model => model.name === target.model && model.version === target.version,
   );
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -9,7 +9,7 @@
   PlacementOrder,
 } from './decide_placement.js';
 
-/** What the placer works with. */
+/** Dependencies and settings of the placer. */
 export interface PlacerOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -17,27 +17,28 @@
   readonly listDeployments: () => Iterable<Deployment>;
   readonly listServers: () => readonly Omit<PlaceableServer, 'busy'>[];
   readonly getEngine: (server: string) => ModelEngine | undefined;
-  /** Loads that the weight store allows per second. */
+  /** Number of loads that the weight store allows per second. */
   readonly loadsPerSecond: number;
-  /** Pause between two looks, in milliseconds. */
+  /** Pause between two checks, in milliseconds. */
   readonly pollMs: number;
 }
 
 /**
- * Time that must be left on the lease when an order is sent, in milliseconds.
- * An engine that ignores fencing numbers may still get the order this much
- * later than it was sent, and it is then still the holder's.
+ * Time that must remain on the lease when an order is sent. If an engine that
+ * does not check fencing numbers receives the order with up to this delay, the
+ * sender still holds the lease.
  */
 const ORDER_LIFETIME_MS = 1000;
 
 /**
- * Places models, adapters and versions on engines, while this host holds the
- * placement lease. Engines that check the fencing number refuse an old holder;
- * for those that do not, the lease is looked at again right before each order,
- * one order is under way per server, and an order may be repeated.
+ * Places models, adapters and versions on engines while this host holds the
+ * placement lease. Engines that check the fencing number refuse orders of an
+ * earlier holder. For the others, the lease is checked again right before each
+ * order, only one order is in flight per server, and orders are idempotent.
  */
 export class Placer {
   private readonly busy = new Set<string>();
+  /** Loads that may start now: the level of a token bucket. */
   private tokens = 1;
   private refilledMs: number;
 
@@ -45,7 +46,7 @@
     this.refilledMs = options.clock.monotonicMs();
   }
 
-  /** Looks until aborted, then gives the lease up. */
+  /** Checks periodically until aborted, then releases the lease. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.look();
@@ -54,7 +55,7 @@
     await this.options.lease.release();
   }
 
-  /** Claims the lease and gives the orders that are due. */
+  /** Claims the lease and, if it is held, sends the orders that are due. */
   async look(): Promise<void> {
     const held = await this.options.lease.claim();
     if (held === undefined) {
@@ -68,11 +69,11 @@
     const deployments = this.options.listDeployments();
     for (const order of decidePlacement(deployments, servers, {loads})) {
       this.tokens--;
-      void this.give(order);
+      void this.sendOrder(order);
     }
   }
 
-  private async give(order: PlacementOrder): Promise<void> {
+  private async sendOrder(order: PlacementOrder): Promise<void> {
     const {clock, lease, log} = this.options;
     const engine = this.options.getEngine(order.server);
     const held = lease.getHeld();
@@ -85,7 +86,7 @@
     }
     this.busy.add(order.server);
     const {model, version, adapter} = order;
-    const given = await engine.give({
+    const result = await engine.give({
       kind:
         adapter === undefined
           ? EngineOrderKind.LOAD_MODEL
@@ -103,8 +104,8 @@
       adapter,
       fence: held.fence,
       reason: order.reason,
-      given: given.isOk,
-      detail: given.isErr ? given.error.message : undefined,
+      given: result.isOk,
+      detail: result.isErr ? result.error.message : undefined,
     });
   }
 
--- a/test/placement/decide_placement_test.ts
+++ b/test/placement/decide_placement_test.ts
@@ -21,7 +21,7 @@
     return {name, dataCentre: 'tac', models, usable: true, busy: false};
   }
 
-  function doTest(
+  function decide(
     servers: readonly PlaceableServer[],
     loads: number,
     change: Partial<Deployment> = {},
@@ -32,38 +32,38 @@
     return orders.map(order => `${order.server}:${order.reason}`);
   }
 
-  it('loads missing replicas, on the emptiest servers first', () => {
-    expect(doTest([server('a'), server('b'), server('c', '2')], 9)).to.eql([
+  it('loads missing replicas, first on the servers with the fewest models', () => {
+    expect(decide([server('a'), server('b'), server('c', '2')], 9)).to.eql([
       'a:replica-missing',
     ]);
   });
 
   it('starts no more loads than the weight store allows', () => {
-    expect(doTest([server('a'), server('b')], 1)).to.have.length(1);
+    expect(decide([server('a'), server('b')], 1)).to.have.length(1);
   });
 
-  it('rolls a version out one server at a time', () => {
+  it('rolls out a version on one server at a time', () => {
     const servers = [server('a', '1'), server('b', '1')];
-    expect(doTest(servers, 9)).to.eql(['a:version-rollout']);
+    expect(decide(servers, 9)).to.eql(['a:version-rollout']);
   });
 
-  it('waits while a server of the data centre is being changed', () => {
+  it('waits while an order to a server of the data centre is in flight', () => {
     const servers = [{...server('a', '1'), busy: true}, server('b', '1')];
-    expect(doTest(servers, 9)).to.eql([]);
+    expect(decide(servers, 9)).to.eql([]);
   });
 
-  it('is convergent: what stands as wanted gets no order', () => {
-    expect(doTest([server('a', '2'), server('b', '2')], 9)).to.eql([]);
+  it('sends no order where the wanted state has been reached', () => {
+    expect(decide([server('a', '2'), server('b', '2')], 9)).to.eql([]);
   });
 
-  it('loads a missing adapter where the model already is', () => {
+  it('loads a missing adapter where the model is loaded already', () => {
     const target = {...deployment.target, adapters: ['tin']} as never;
-    expect(doTest([server('a', '2'), server('b', '2')], 9, {target})).to.eql([
+    expect(decide([server('a', '2'), server('b', '2')], 9, {target})).to.eql([
       'a:adapter-missing',
     ]);
   });
 
-  it('leaves out servers that are leaving', () => {
-    expect(doTest([{...server('a'), usable: false}], 9)).to.eql([]);
+  it('omits servers that are leaving', () => {
+    expect(decide([{...server('a'), usable: false}], 9)).to.eql([]);
   });
 });
