--- a/src/admission/decide_by_wait.ts
+++ b/src/admission/decide_by_wait.ts
@@ -1,23 +1,26 @@
 import {Problem, problems} from '../errors/index.js';
 import {Random} from '../random/index.js';
 
-/** Longest wait for the prompt's turn, as a share of the first token's target. */
+/** Longest predicted wait, as a share of the first-token target. */
 const MAX_WAIT_SHARE = 1;
-/** Shortest time to come back, in milliseconds. */
+/** Minimum retry time. */
 const MIN_RETRY_MS = 100;
 const MS_PER_SECOND = 1000;
 
 /**
- * Decides whether a stream is begun in time, where servers keep the queue.
+ * Decides whether to send a stream to a server that queues requests itself.
  *
- * The pattern it answers: more prompts come than are computed. Sent on, they all
- * wait, most are given up by their callers after they were computed in part, and
- * what is computed is late. Refused at once, those that are sent begin in time.
- * The wait counts only what is as urgent; how long the request's own prompt is
- * makes no difference, so that large ones are not starved.
- * @param waitMs - Predicted wait for its turn at the best server.
- * @param targetMs - Target of the first token.
- * @param random - Spreads the times to come back.
+ * This prevents a collapse under overload, when more prompts arrive than
+ * servers can compute. If all were sent, they would all wait, callers would
+ * abandon most of them after partial computation, and the remaining answers
+ * would be late. With the excess refused at once, the streams that are sent
+ * start in time. The wait includes only work of the same urgency or more urgent
+ * work. The length of the request's own prompt does not matter, so that large
+ * prompts are not starved.
+ * @param waitMs - Predicted wait until the best server starts with the prompt,
+ *   in milliseconds.
+ * @param targetMs - Target for the time to the first token, in milliseconds.
+ * @param random - Randomises the retry time.
  * @returns Why it is refused, or `undefined` to send it.
  */
 export function decideByWait(
@@ -29,7 +32,7 @@
   if (waitMs <= limitMs) {
     return undefined;
   }
-  const freeMs = Math.max(MIN_RETRY_MS, waitMs - limitMs);
-  const retryMs = freeMs * (1 + random.next());
+  const excessMs = Math.max(MIN_RETRY_MS, waitMs - limitMs);
+  const retryMs = excessMs * (1 + random.next());
   return problems.deadlineUnreachable(waitMs, retryMs / MS_PER_SECOND);
 }
--- a/src/admission/fair_share.ts
+++ b/src/admission/fair_share.ts
@@ -1,18 +1,19 @@
 import {Customer} from '../configuration/index.js';
 
-/** Requests in flight of one customer, on this host and on its peers. */
+/** Number of in-flight requests of one customer. */
 export interface CustomerUsage {
   readonly customer: string;
   readonly inFlight: number;
 }
 
 /**
- * Works out how many requests a customer may have in flight at once (weighted
- * max-min fairness): what others leave unused is shared by those who want more.
+ * Computes how many requests a customer may have in flight by weighted max-min
+ * fairness: capacity that some customers leave unused is divided among those
+ * that need more.
  * @param customer - The customer.
  * @param customers - All customers, for their weights.
- * @param usage - Use of every customer that has requests in flight.
- * @param capacity - Requests that can be in flight at once in all.
+ * @param usage - Requests in flight of every active customer.
+ * @param capacity - Maximum number of requests in flight in total.
  */
 export function getFairShare(
   customer: string,
@@ -25,21 +26,21 @@
     active.set(entry.customer, entry.inFlight);
   }
   active.set(customer, Number.POSITIVE_INFINITY);
-  let left = capacity;
-  let wanting = [...active.keys()];
+  let remaining = capacity;
+  let unsatisfied = [...active.keys()];
   for (;;) {
-    const weightSum = sumWeights(wanting, customers);
-    const perWeight = left / Math.max(weightSum, Number.EPSILON);
-    const content = wanting.filter(
+    const weightSum = sumWeights(unsatisfied, customers);
+    const perWeight = remaining / Math.max(weightSum, Number.EPSILON);
+    const satisfied = unsatisfied.filter(
       name => (active.get(name) ?? 0) <= perWeight * getWeight(name, customers),
     );
-    if (content.length === 0) {
+    if (satisfied.length === 0) {
       return perWeight * getWeight(customer, customers);
     }
-    for (const name of content) {
-      left -= active.get(name) ?? 0;
+    for (const name of satisfied) {
+      remaining -= active.get(name) ?? 0;
     }
-    wanting = wanting.filter(name => !content.includes(name));
+    unsatisfied = unsatisfied.filter(name => !satisfied.includes(name));
   }
 }
 
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,6 +1,6 @@
-/** Admission: which requests are taken in, and each customer's share. */
+/** Admission: which requests are admitted, and each customer's share. */
 export {decideAdmission} from './admission.js';
-export type {AdmissionQuestion} from './admission.js';
+export type {AdmissionContext} from './admission.js';
 export {getFairShare} from './fair_share.js';
 export type {CustomerUsage} from './fair_share.js';
 export {UsageCounter} from './usage_counter.js';
--- a/src/admission/usage_counter.ts
+++ b/src/admission/usage_counter.ts
@@ -1,16 +1,20 @@
 import {CustomerUsage} from './fair_share.js';
 
-/** Requests in flight per customer: counted here, heard from peers. */
+/**
+ * Counts requests in flight per customer, on this host and as reported by
+ * peers.
+ */
 export class UsageCounter {
   private readonly own = new Map<string, number>();
 
   /**
-   * @param listPeerUsage - Returns what the live peers of this data centre
-   *   said last; while they are cut off, what remains is this host's own.
+   * @param listPeerUsage - Returns the last reports of the live peers of this
+   *   data centre. While they cannot be reached, only this host's own requests
+   *   are counted.
    */
   constructor(private readonly listPeerUsage: () => readonly CustomerUsage[]) {}
 
-  /** Counts a request in; returns the function that counts it out. */
+  /** Counts a request as in flight; returns the function that ends it. */
   add(customer: string): () => void {
     this.own.set(customer, (this.own.get(customer) ?? 0) + 1);
     let open = true;
@@ -28,12 +32,12 @@
     };
   }
 
-  /** Returns this host's own use, to tell peers. */
+  /** Returns this host's own requests in flight, as reported to peers. */
   listOwn(): CustomerUsage[] {
     return [...this.own].map(([customer, inFlight]) => ({customer, inFlight}));
   }
 
-  /** Returns the use of the whole data centre. */
+  /** Returns the requests in flight of the whole data centre. */
   listAll(): CustomerUsage[] {
     const sums = new Map(this.own);
     for (const usage of this.listPeerUsage()) {
--- a/src/attempts/attempt_rules.ts
+++ b/src/attempts/attempt_rules.ts
@@ -1,13 +1,16 @@
 import {Repeat} from '../catalog/index.js';
 
-/** What bounds the attempts at one request. */
+/** Limits on the attempts at one request. */
 export interface AttemptRules {
-  /** What may be sent to a second server, and when. */
+  /** Whether the request may run on a second server, and when. */
   readonly repeat: Repeat;
-  /** Servers that may have run the request, at most. */
+  /** Maximum number of servers that may have run the request. */
   readonly maxRuns: number;
-  /** Servers asked beyond those, while they say that it did not run. */
+  /**
+   * Maximum number of additional servers that are tried as long as it is
+   * certain that they did not run the request.
+   */
   readonly maxNotRun: number;
-  /** Spends one retry; returns whether there was one. */
+  /** Takes one retry from the budget; returns whether one was available. */
   readonly spendRetry: () => boolean;
 }
--- a/src/attempts/attempts.ts
+++ b/src/attempts/attempts.ts
@@ -2,15 +2,15 @@
 import {AttemptRules} from './attempt_rules.js';
 
 /**
- * The attempts at one request: which servers have had it, what may have run, and
- * whether another server may be asked. What may run once is sent on only while
- * it is certain that nobody has run it.
+ * The attempts at one request: which servers were tried, how many may have run
+ * it, and whether another server may be tried. A request that may run only once
+ * is retried only as long as it is certain that no server has run it.
  */
 export class Attempts {
   private readonly tried = new Set<string>();
-  private begun = 0;
+  private started = 0;
   private runs = 0;
-  private notRun = 0;
+  private unexecuted = 0;
 
   constructor(private readonly rules: AttemptRules) {}
 
@@ -19,47 +19,50 @@
     return this.tried;
   }
 
-  /** Returns how many attempts were begun. */
+  /** Returns the number of started attempts. */
   count(): number {
-    return this.begun;
+    return this.started;
   }
 
-  /** Tells whether any server may have run the request. */
+  /** Returns whether any server may have run the request. */
   mayHaveRun(): boolean {
     return this.runs > 0;
   }
 
-  /** Begins an attempt; returns whether the retry budget allows it. */
+  /**
+   * Starts an attempt; returns whether the retry budget allows it. The first
+   * attempt needs no retry.
+   */
   begin(): boolean {
-    if (this.begun > 0 && !this.rules.spendRetry()) {
+    if (this.started > 0 && !this.rules.spendRetry()) {
       return false;
     }
-    this.begun++;
+    this.started++;
     return true;
   }
 
-  /** Leaves a server out from now on. */
+  /** Excludes a server from further attempts. */
   exclude(server: string): void {
     this.tried.add(server);
   }
 
   /**
-   * Notes an attempt without a final answer.
-   * @param server - Who was asked.
+   * Records an attempt without a final answer, and excludes its server.
+   * @param server - The server that was tried.
    * @param mayHaveRun - Whether the server may have run the request.
-   * @returns Whether another server may be asked.
+   * @returns Whether another server may be tried.
    */
   fail(server: string, mayHaveRun: boolean): boolean {
     this.exclude(server);
     if (!mayHaveRun) {
-      this.notRun++;
-      return this.notRun <= this.rules.maxNotRun;
+      this.unexecuted++;
+      return this.unexecuted <= this.rules.maxNotRun;
     }
     this.runs++;
     return this.allowsAnotherAfter(this.runs);
   }
 
-  /** Tells whether another server may be asked if the next one fails. */
+  /** Returns whether another server may be tried if the next one fails. */
   hasSpare(): boolean {
     return this.allowsAnotherAfter(this.runs + 1);
   }
--- a/src/attempts/index.ts
+++ b/src/attempts/index.ts
@@ -1,3 +1,3 @@
-/** Attempts: how often one request is sent, for every kind of wire. */
+/** Attempts: how often one request is sent, whatever the protocol. */
 export type {AttemptRules} from './attempt_rules.js';
 export {Attempts} from './attempts.js';
--- a/test/admission/admission_test.ts
+++ b/test/admission/admission_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {
-  AdmissionQuestion,
+  AdmissionContext,
   decideAdmission,
   getFairShare,
 } from '../../src/admission/index.js';
@@ -17,7 +17,7 @@
 }
 
 describe('getFairShare', () => {
-  it('gives what others leave to those who want more', () => {
+  it('gives unused capacity to customers that need more', () => {
     const usage = [
       {customer: 'big', inFlight: 90},
       {customer: 'small', inFlight: 10},
@@ -26,7 +26,7 @@
     expect(getFairShare('big', all, usage, 100)).to.equal(90);
   });
 
-  it('divides by weight when all want more', () => {
+  it('divides the capacity by weight when all need more', () => {
     const usage = [
       {customer: 'a', inFlight: 100},
       {customer: 'b', inFlight: 100},
@@ -38,7 +38,7 @@
 });
 
 describe('decideAdmission', () => {
-  function doTest(change: Partial<AdmissionQuestion>): string | undefined {
+  function decide(change: Partial<AdmissionContext>): string | undefined {
     const problem = decideAdmission(
       {
         customer: 'a',
@@ -57,37 +57,37 @@
     return problem?.kind;
   }
 
-  it('admits what will be in time', () => {
-    expect(doTest({})).to.equal(undefined);
+  it('admits a request that meets its target', () => {
+    expect(decide({})).to.equal(undefined);
   });
 
-  it('refuses at once what cannot meet its deadline', () => {
-    expect(doTest({remainingMs: 50})).to.equal('deadline-unreachable');
+  it('refuses a request that cannot meet its deadline', () => {
+    expect(decide({remainingMs: 50})).to.equal('deadline-unreachable');
   });
 
-  it('refuses the less urgent first', () => {
-    expect(doTest({firstTokenMs: 260, urgency: 1})).to.equal(undefined);
-    expect(doTest({firstTokenMs: 260, urgency: 6})).to.equal(
+  it('refuses less urgent requests first', () => {
+    expect(decide({firstTokenMs: 260, urgency: 1})).to.equal(undefined);
+    expect(decide({firstTokenMs: 260, urgency: 6})).to.equal(
       'deadline-unreachable',
     );
   });
 
-  it('holds a customer to its share while places are scarce', () => {
+  it('limits a customer to its share while capacity is scarce', () => {
     const usage = [
       {customer: 'a', inFlight: 60},
       {customer: 'b', inFlight: 20},
     ];
-    expect(doTest({usage})).to.equal('customer-over-share');
-    expect(doTest({usage, customer: 'b'})).to.equal(undefined);
+    expect(decide({usage})).to.equal('customer-over-share');
+    expect(decide({usage, customer: 'b'})).to.equal(undefined);
   });
 
-  it('holds no shares while the capacity is not known', () => {
+  it('does not enforce shares while the capacity is not known', () => {
     const usage = [{customer: 'a', inFlight: 60}];
     const capacity = Number.POSITIVE_INFINITY;
-    expect(doTest({usage, capacity})).to.equal(undefined);
+    expect(decide({usage, capacity})).to.equal(undefined);
   });
 
-  it('spreads the times to come back', () => {
+  it('randomises the retry time', () => {
     const random = new SeededRandom(2);
     const times = new Set<number | undefined>();
     for (let turn = 0; turn < 50; turn++) {
--- a/test/admission/decide_by_wait_test.ts
+++ b/test/admission/decide_by_wait_test.ts
@@ -3,20 +3,20 @@
 import {Ran} from '../../src/errors/index.js';
 import {SeededRandom} from '../../src/random/index.js';
 
-/** Tokens an engine computes in a millisecond. */
-const RATE = 100;
+/** Prompt tokens an engine computes per millisecond. */
+const PREFILL_TOKENS_PER_MS = 100;
 const TARGET_MS = 400;
-const PROMPT = 6000;
+const PROMPT_TOKENS = 6000;
 
 describe('decideByWait', () => {
   const random = new SeededRandom(3);
 
-  it('admits what begins in time', () => {
+  it('admits a stream that starts in time', () => {
     expect(decideByWait(0, TARGET_MS, random)).to.equal(undefined);
     expect(decideByWait(TARGET_MS, TARGET_MS, random)).to.equal(undefined);
   });
 
-  it('refuses the rest, and says when there is room again', () => {
+  it('refuses other streams with a retry time', () => {
     const problem = decideByWait(1400, TARGET_MS, random);
     expect(problem?.status).to.equal(503);
     expect(problem?.ran).to.equal(Ran.NO);
@@ -24,11 +24,14 @@
   });
 
   /**
-   * Plays prompts that come at a multiple of what an engine computes, and
-   * returns the share of its work that begins in time.
+   * Simulates prompts that arrive at a multiple of the rate an engine computes,
+   * and returns the share of the engine's capacity whose prompts start in time.
    */
-  function playLoad(load: number, admits: (waitMs: number) => boolean): number {
-    const pauseMs = PROMPT / RATE / load;
+  function simulateLoad(
+    load: number,
+    admits: (waitMs: number) => boolean,
+  ): number {
+    const pauseMs = PROMPT_TOKENS / PREFILL_TOKENS_PER_MS / load;
     let freeMs = 0;
     let inTime = 0;
     const count = 2000;
@@ -38,15 +41,15 @@
       if (!admits(waitMs)) {
         continue;
       }
-      freeMs = nowMs + waitMs + PROMPT / RATE;
+      freeMs = nowMs + waitMs + PROMPT_TOKENS / PREFILL_TOKENS_PER_MS;
       inTime += waitMs <= TARGET_MS ? 1 : 0;
     }
     return inTime / Math.min(count, count / load);
   }
 
   for (const load of [0.5, 1, 2, 4]) {
-    it(`keeps what is served in time flat at ${load} times the capacity`, () => {
-      const kept = playLoad(
+    it(`keeps the throughput of streams in time constant at ${load} times the capacity`, () => {
+      const kept = simulateLoad(
         load,
         waitMs => decideByWait(waitMs, TARGET_MS, random) === undefined,
       );
@@ -54,7 +57,7 @@
     });
   }
 
-  it('is what keeps it flat: sent on, hardly any begins in time', () => {
-    expect(playLoad(4, () => true)).to.be.lessThan(0.05);
+  it('is needed: without refusals, hardly any stream starts in time', () => {
+    expect(simulateLoad(4, () => true)).to.be.lessThan(0.05);
   });
 });
--- a/test/attempts/attempts_test.ts
+++ b/test/attempts/attempts_test.ts
@@ -17,21 +17,21 @@
   }
 
   describe('of a request that may run once', () => {
-    it('go on while it is certain that none has run it', () => {
+    it('continue while it is certain that no server has run it', () => {
       const attempts = create(Repeat.ONCE);
       expect(attempts.fail('a', false)).to.equal(true);
       expect(attempts.mayHaveRun()).to.equal(false);
       expect([...attempts.excluded]).to.deep.equal(['a']);
     });
 
-    it('end once one may have run it', () => {
+    it('end once a server may have run it', () => {
       const attempts = create(Repeat.ONCE);
       expect(attempts.fail('a', true)).to.equal(false);
       expect(attempts.mayHaveRun()).to.equal(true);
       expect(attempts.hasSpare()).to.equal(false);
     });
 
-    it('end after a few servers that did not run it', () => {
+    it('end after the maximum number of servers that did not run it', () => {
       const attempts = create(Repeat.ONCE);
       const more = ['a', 'b', 'c', 'd'].map(name => attempts.fail(name, false));
       expect(more).to.deep.equal([true, true, true, false]);
@@ -40,7 +40,7 @@
 
   describe('of a request that may run again', () => {
     for (const repeat of [Repeat.ANY, Repeat.RESUME]) {
-      it(`end with the runs allowed (${repeat})`, () => {
+      it(`end after the maximum number of runs (${repeat})`, () => {
         const attempts = create(repeat);
         expect(attempts.hasSpare()).to.equal(true);
         expect(attempts.fail('a', true)).to.equal(true);
@@ -50,7 +50,7 @@
     }
   });
 
-  it('spend a retry for every attempt but the first', () => {
+  it('take a retry from the budget for every attempt but the first', () => {
     const attempts = create(Repeat.ANY, 1);
     const begun = [attempts.begin(), attempts.begin(), attempts.begin()];
     expect(begun).to.deep.equal([true, true, false]);
