--- a/src/quota/bucket.ts
+++ b/src/quota/bucket.ts
@@ -1,77 +1,81 @@
 import {Clock} from '../time/index.js';
 
-/** Part of its depth that a bucket holds when the process starts. */
-const FIRST_LEVEL = 0.5;
-/** Part of its depth that must be there for a request larger than that. */
-const LARGE_LEVEL = 0.5;
+/** Initial level of a bucket, as a share of its depth. */
+const INITIAL_LEVEL_SHARE = 0.5;
+/**
+ * Level at which a request larger than this level is admitted, as a share of
+ * the depth.
+ */
+const LARGE_REQUEST_LEVEL_SHARE = 0.5;
 const MS_PER_SECOND = 1000;
 
 /**
  * A token bucket whose rate and depth may change at any time. A request that is
- * larger than the bucket is let through once the bucket is half full and paid
- * off afterwards, so that large requests are not starved.
+ * larger than the bucket is admitted once the bucket is half full. The level
+ * then becomes negative and is refilled afterwards, so that large requests are
+ * not starved.
  */
 export class Bucket {
   private level: number | undefined;
-  private filledMs: number;
+  private refilledMs: number;
   private perSecond = 0;
   private depth = 0;
 
   constructor(private readonly clock: Clock) {
-    this.filledMs = clock.monotonicMs();
+    this.refilledMs = clock.monotonicMs();
   }
 
   /**
-   * Changes what flows in and how much is held.
-   * @param perSecond - Units that flow in per second.
-   * @param depth - Most units it holds.
+   * Sets the rate and the depth.
+   * @param perSecond - Units added per second.
+   * @param depth - Maximum number of units in the bucket.
    */
-  setFlow(perSecond: number, depth: number): void {
-    this.fill();
+  setLimits(perSecond: number, depth: number): void {
+    this.refill();
     this.perSecond = perSecond;
     this.depth = depth;
-    this.level = Math.min(depth, this.level ?? depth * FIRST_LEVEL);
+    this.level = Math.min(depth, this.level ?? depth * INITIAL_LEVEL_SHARE);
   }
 
   /**
-   * Tells whether a request's units are there.
-   * @param units - The request's units.
-   * @param reserved - Units that are to be left besides.
+   * Returns whether the level is high enough to admit a request.
+   * @param units - Units of the request.
+   * @param reserved - Units that must be available in addition.
    */
   covers(units: number, reserved = 0): boolean {
-    this.fill();
+    this.refill();
     return (this.level ?? 0) >= this.getNeeded(units) + reserved;
   }
 
-  /** Returns the units that are there; negative while a debt is paid off. */
+  /** Returns the available units; negative after a large request. */
   getLevel(): number {
-    this.fill();
+    this.refill();
     return this.level ?? 0;
   }
 
-  /** Returns the milliseconds until a request's units will be there. */
+  /** Returns the time until a request can be admitted, in milliseconds. */
   getWaitMs(units: number): number {
     const missing = this.getNeeded(units) - (this.level ?? 0);
     return (Math.max(0, missing) / Math.max(this.perSecond, 1)) * MS_PER_SECOND;
   }
 
-  /** Takes units out, whether they are there or not. */
+  /** Subtracts units, whether they are available or not. */
   spend(units: number): void {
-    this.fill();
+    this.refill();
     if (this.level !== undefined) {
-      // What was spent before the flow is known is in the first level.
+      // The initial level already accounts for units spent before `setLimits`.
       this.level -= units;
     }
   }
 
   private getNeeded(units: number): number {
-    return Math.min(units, this.depth * LARGE_LEVEL);
+    return Math.min(units, this.depth * LARGE_REQUEST_LEVEL_SHARE);
   }
 
-  private fill(): void {
+  private refill(): void {
     const nowMs = this.clock.monotonicMs();
-    const inflow = ((nowMs - this.filledMs) / MS_PER_SECOND) * this.perSecond;
-    this.filledMs = nowMs;
+    const inflow = ((nowMs - this.refilledMs) / MS_PER_SECOND) * this.perSecond;
+    this.refilledMs = nowMs;
     if (this.level !== undefined) {
       this.level = Math.min(this.depth, this.level + inflow);
     }
--- a/src/quota/demand_meter.ts
+++ b/src/quota/demand_meter.ts
@@ -1,25 +1,27 @@
 import {Clock} from '../time/index.js';
 import {Demand} from './demand.js';
 
-/** Time constant over which demand is smoothed, in milliseconds. */
+/** Time constant of the exponential smoothing. */
 const SMOOTHING_MS = 2000;
 const MS_PER_SECOND = 1000;
-/** Demand below which a customer is left out of the list, in units per second. */
-const NEGLIGIBLE = 0.5;
+/**
+ * Demand, in units per second, up to which a customer is omitted from the list.
+ */
+const MIN_LISTED_PER_SECOND = 0.5;
 
-/** Smoothed demand of one customer. */
+/** Smoothed demand of one customer, as of its last update. */
 interface Smoothed {
   perSecond: number;
   updatedMs: number;
 }
 
-/** Measures each customer's demand, served or not, smoothed over seconds. */
+/** Measures each customer's demand, admitted or not, smoothed over seconds. */
 export class DemandMeter {
   private readonly demands = new Map<string, Smoothed>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Counts what a request asks for. */
+  /** Adds the units that a request asks for. */
   add(customer: string, units: number): void {
     const perSecond =
       this.get(customer) + (units * MS_PER_SECOND) / SMOOTHING_MS;
@@ -39,12 +41,12 @@
     return known.perSecond * Math.exp(-ageMs / SMOOTHING_MS);
   }
 
-  /** Lists what is worth telling. */
+  /** Lists the demands that are worth reporting. */
   list(): Demand[] {
     const demands: Demand[] = [];
     for (const customer of this.demands.keys()) {
       const perSecond = Math.round(this.get(customer));
-      if (perSecond > NEGLIGIBLE) {
+      if (perSecond > MIN_LISTED_PER_SECOND) {
         demands.push({customer, perSecond});
       }
     }
--- a/src/quota/index.ts
+++ b/src/quota/index.ts
@@ -1,4 +1,4 @@
-/** Quotas: each customer's rate, kept over all hosts by shares. */
+/** Quotas: each customer's rate limit over all hosts, enforced by shares. */
 export {Quota} from './quota.js';
 export type {Demand} from './demand.js';
 export type {QuotaBound, QuotaOptions} from './quota.js';
--- a/src/quota/peer_spending.ts
+++ b/src/quota/peer_spending.ts
@@ -1,66 +1,69 @@
 import {Spending} from './spending.js';
 
-/** Which of an origin's words count. */
+/** Which reports of an origin are counted. */
 export const Counting = {
-  /** All of them: it is heard of by nobody else. */
+  /** All reports: no other origin reports the same units. */
   ALL: 'all',
-  /** All but the first: what it tells of was told by another before. */
+  /** All but the first: its units were reported by another origin before. */
   LATER: 'later',
-  /** None: what it tells of is told by another now. */
+  /** No report: another origin currently reports the same units. */
   NONE: 'none',
 } as const;
 export type Counting = (typeof Counting)[keyof typeof Counting];
 
-/** What one origin has told of one customer. */
-interface ToldUnits {
-  /** Units it told last. */
-  told: number;
-  /** Units of these that were counted here. */
+/** What one origin has reported about one customer. */
+interface ReportedUnits {
+  /** Total of the last report. */
+  reported: number;
+  /** Part of the total that was counted. */
   counted: number;
 }
 
 /**
- * What the starts of other hosts have let through, by their own word. Sums only
- * rise, so that word that comes twice or late counts nothing twice.
+ * Units that other hosts have admitted, as they report themselves. An origin is
+ * one incarnation of a reporting host, which may report for several hosts. Its
+ * totals only increase, so that a report that is received twice or delayed is
+ * not counted twice.
  */
 export class PeerSpending {
-  private readonly origins = new Map<string, Map<string, ToldUnits>>();
+  private readonly origins = new Map<string, Map<string, ReportedUnits>>();
 
   /**
-   * Takes in what an origin told.
-   * @param origin - Who counted.
-   * @param spending - Its sums.
-   * @param counting - Whether this word counts.
-   * @returns What was let through since its last word.
+   * Records the report of an origin.
+   * @param origin - The reporting incarnation.
+   * @param spending - Its totals.
+   * @param counting - Whether this report is counted.
+   * @returns The counted units that were admitted since its last report.
    */
   add(
     origin: string,
     spending: readonly Spending[],
     counting: Counting,
   ): Spending[] {
-    const isLater = this.origins.has(origin);
+    const hasReported = this.origins.has(origin);
     const counts =
-      counting === Counting.ALL || (counting === Counting.LATER && isLater);
-    const customers = this.origins.get(origin) ?? new Map<string, ToldUnits>();
+      counting === Counting.ALL || (counting === Counting.LATER && hasReported);
+    const customers =
+      this.origins.get(origin) ?? new Map<string, ReportedUnits>();
     this.origins.set(origin, customers);
     const counted: Spending[] = [];
     for (const {customer, units} of spending) {
-      const known = customers.get(customer) ?? {told: 0, counted: 0};
+      const known = customers.get(customer) ?? {reported: 0, counted: 0};
       customers.set(customer, known);
-      const more = units - known.told;
-      if (more <= 0) {
+      const increase = units - known.reported;
+      if (increase <= 0) {
         continue;
       }
-      known.told = units;
+      known.reported = units;
       if (counts) {
-        known.counted += more;
-        counted.push({customer, units: more});
+        known.counted += increase;
+        counted.push({customer, units: increase});
       }
     }
     return counted;
   }
 
-  /** Returns what was counted of one origin, by customer. */
+  /** Returns the counted units of one origin, by customer. */
   get(origin: string): Map<string, number> {
     const sums = new Map<string, number>();
     for (const [customer, {counted}] of this.origins.get(origin) ?? []) {
@@ -69,7 +72,9 @@
     return sums;
   }
 
-  /** Sums what was counted of origins that a function picks, by customer. */
+  /**
+   * Sums the counted units of the origins that a function selects, by customer.
+   */
   sum(picks: (origin: string) => boolean): Map<string, number> {
     const sums = new Map<string, number>();
     for (const [origin, customers] of this.origins) {
--- a/src/quota/quota.ts
+++ b/src/quota/quota.ts
@@ -6,91 +6,114 @@
 import {Counting, PeerSpending} from './peer_spending.js';
 import {Spending} from './spending.js';
 
-/** How far over a customer's rate all hosts together may go in a span. */
+/** How far all hosts together may exceed a customer's rate in a window. */
 export interface QuotaBound {
-  /** The span, in milliseconds. */
+  /** Length of the window, in milliseconds. */
   readonly windowMs: number;
-  /** Share of the rate that may be exceeded. */
+  /** Share of the rate by which it may be exceeded. */
   readonly overage: number;
-  /** Units that may be exceeded besides. */
+  /** Units by which the rate may be exceeded in addition. */
   readonly slack: number;
 }
 
-/** What the quota works with. */
+/** Dependencies of the quota. */
 export interface QuotaOptions {
   readonly clock: Clock;
-  /** Returns a customer's demand at the other hosts, as told last, heard or not. */
+  /**
+   * Returns a customer's demand at the other hosts as last reported, also by
+   * hosts that cannot currently be reached.
+   */
   readonly sumPeerDemand: (customer: string) => number;
-  /** Returns how many other hosts that demand is of. */
+  /** Returns how many other hosts have reported that demand. */
   readonly countTold: () => number;
-  /** Returns the hosts that may be spending, this one included. */
+  /**
+   * Returns the number of hosts that may be admitting requests, including this
+   * one.
+   */
   readonly countHosts: () => number;
-  /** Returns how many of them were heard just now, this one included. */
+  /** Returns how many of these hosts are reachable, including this one. */
   readonly countHeard: () => number;
   readonly getBound: () => QuotaBound;
 }
 
-/** What is kept of one customer. */
+/** State of one customer. */
 interface Balance {
-  /** This host's share of the rate. */
+  /** Bucket for this host's share of the rate. */
   readonly share: Bucket;
-  /** The whole rate, less what every host is known to have spent. */
+  /**
+   * Bucket for the global rate, from which all known spending of all hosts is
+   * taken.
+   */
   readonly whole: Bucket;
-  /** Units this host has let through. */
+  /** Units this host has admitted. */
   spent: number;
 }
 
-/** Part of the rate that is divided evenly, whatever the demand. */
+/**
+ * Share of the rate that is divided evenly among hosts, whatever the demand.
+ */
 const EVEN_SHARE = 0.4;
-/** Demand assumed of a customer that was not seen, against division by 0. */
+/** Minimum demand assumed for a customer; avoids a division by 0. */
 const MIN_DEMAND = 1e-6;
 const MIN_RETRY_MS = 50;
-/** Share of the bound's own room that is used; the rest is for restarts. */
-const MARGIN_SHARE = 0.6;
 /**
- * Time in which what one host lets through is known to the others, in
- * milliseconds: two heartbeats, and the way by aggregators.
+ * Share of the allowed excess that is used; the rest is a reserve for restarts.
+ */
+const USED_MARGIN_SHARE = 0.6;
+/**
+ * Time until the spending of one host is known to the others: two heartbeats,
+ * and the forwarding by aggregators.
  */
-const WORD_MS = 1000;
+const PROPAGATION_MS = 1000;
 /**
- * Share of the hosts that may be unheard while the whole still decides: of many
- * hosts some always restart, and what they may spend is set aside for them.
+ * Maximum share of unreachable hosts with which the global rate is still used.
+ * Among many hosts some are always restarting. What these may spend is reserved
+ * for them.
+ */
+const MAX_UNREACHABLE_SHARE = 0.1;
+/**
+ * Number of hosts above which a host's share of a rate is less than a large
+ * request.
  */
-const FEW_UNHEARD_SHARE = 0.1;
-/** Hosts beyond which one's part of a rate is less than a large request. */
 const MANY_HOSTS = 32;
 const MS_PER_SECOND = 1000;
 const SHARE_DIGITS = 3;
 
 /**
- * Keeps each customer within its rate over all hosts without a round trip.
+ * Keeps each customer within its rate over all hosts without a round trip per
+ * request.
  *
- * Every host may spend a share of the rate: a part that is divided evenly, so
- * that a host that boots or is cut off can serve, and the rest by the demand
- * that hosts have measured and told each other. A host that falls silent keeps
- * its share, since it may be serving where it cannot be heard.
+ * Every host may spend a share of the rate. A part of the rate is divided
+ * evenly, so that a host that has just started or is partitioned can serve. The
+ * rest is divided by the demand that the hosts have measured and reported to
+ * each other. A host that stops responding keeps its share, since it may still
+ * be serving customers.
  *
- * Shares alone would refuse a customer that stays within its rate but whose
- * large requests meet one host. So while hosts are heard, what all of them have
- * spent decides as well, less what may be spent before it is heard of.
+ * Shares alone would refuse requests of a customer that stays within its rate
+ * but whose large requests reach the same host. So while hosts are reachable, a
+ * request is also admitted if the spending of all hosts is within the global
+ * rate, less a reserve for what may be spent before it is reported.
  */
 export class Quota {
   private readonly balances = new Map<string, Balance>();
   private readonly peers = new PeerSpending();
   private readonly demand: DemandMeter;
-  private readonly startMs: number;
+  private readonly createdMs: number;
 
   constructor(private readonly options: QuotaOptions) {
-    this.startMs = options.clock.monotonicMs();
+    this.createdMs = options.clock.monotonicMs();
     this.demand = new DemandMeter(options.clock);
   }
 
-  /** Returns this host's demand, to tell peers. */
+  /** Returns this host's demand, as reported to peers. */
   listDemand(): Demand[] {
     return this.demand.list();
   }
 
-  /** Returns what this start of the host has let through, to tell peers. */
+  /**
+   * Returns the units this incarnation of the host has admitted, as reported to
+   * peers.
+   */
   listSpending(): Spending[] {
     const spending: Spending[] = [];
     for (const [customer, {spent}] of this.balances) {
@@ -100,8 +123,8 @@
   }
 
   /**
-   * Sums what origins that a function picks, and this host, have let through.
-   * @param picks - Picks origins: hosts and their starts.
+   * Sums the units that this host and selected origins have admitted.
+   * @param picks - Selects the origins; see `addPeerSpending`.
    */
   sumSpending(picks: (origin: string) => boolean): Spending[] {
     const sums = this.peers.sum(picks);
@@ -111,16 +134,16 @@
     return [...sums].map(([customer, units]) => ({customer, units}));
   }
 
-  /** Returns what was counted of one origin, by customer. */
+  /** Returns the counted units of one origin, by customer. */
   listSpendingOf(origin: string): ReadonlyMap<string, number> {
     return this.peers.get(origin);
   }
 
   /**
-   * Takes in what a peer has let through in all.
-   * @param origin - Host and start that counted.
-   * @param spending - Its sums, which only rise.
-   * @param counting - Whether this word counts.
+   * Records a peer's report of all units it has admitted.
+   * @param origin - The reporting host and its incarnation.
+   * @param spending - Its totals, which only increase.
+   * @param counting - Whether this report is counted.
    */
   addPeerSpending(
     origin: string,
@@ -134,10 +157,12 @@
   }
 
   /**
-   * Takes a request's units from its customer's share.
+   * Admits or refuses a request. The units of an admitted request are
+   * subtracted from its customer's share.
    * @param account - The customer.
-   * @param units - What the request counts as.
-   * @returns 0 if it may pass; else milliseconds until it may.
+   * @param units - Units of the request.
+   * @returns 0 if it is admitted; otherwise the time until it may be, in
+   *   milliseconds.
    */
   take(account: Account, units: number): number {
     const {rate, name} = account;
@@ -148,13 +173,18 @@
     const balance = this.getBalance(name);
     const share = this.getShare(name);
     const depth = rate.burst + this.getMargin(rate);
-    const heard = this.hearsMost() ? this.getHeardShare() : 1;
-    balance.share.setFlow(rate.perSecond * share, depth * share);
-    balance.whole.setFlow(rate.perSecond * heard, rate.burst * heard);
+    const reachableShare = this.reachesMostHosts()
+      ? this.getReachableShare()
+      : 1;
+    balance.share.setLimits(rate.perSecond * share, depth * share);
+    balance.whole.setLimits(
+      rate.perSecond * reachableShare,
+      rate.burst * reachableShare,
+    );
     const isWithin =
       (balance.share.covers(units) &&
-        !this.exceedsWhole(balance, depth * share, units)) ||
-      this.isWithinWhole(balance, name, rate, units);
+        !this.exceedsGlobalRate(balance, depth * share, units)) ||
+      this.isWithinGlobalRate(balance, name, rate, units);
     if (!isWithin) {
       return Math.max(MIN_RETRY_MS, balance.share.getWaitMs(units));
     }
@@ -169,10 +199,15 @@
     const hosts = Math.max(1, this.options.countHosts());
     const own = Math.max(MIN_DEMAND, this.demand.get(customer));
     const all = own + this.options.sumPeerDemand(customer);
-    return EVEN_SHARE / hosts + (1 - EVEN_SHARE) * (own / all) * this.trust();
+    return (
+      EVEN_SHARE / hosts +
+      (1 - EVEN_SHARE) * (own / all) * this.getDemandCoverage()
+    );
   }
 
-  /** Tells what decides on a customer's requests now, for the log. */
+  /**
+   * Describes the values that decide on a customer's requests now, for the log.
+   */
   describe(customer: string): Readonly<Record<string, string>> {
     const {share, whole} = this.getBalance(customer);
     const demand =
@@ -186,11 +221,12 @@
   }
 
   /**
-   * Tells whether all hosts together are within the rate, as far as this one
-   * knows: what may be spent beyond it before hosts hear of each other is
-   * reserved. So a clump of requests within the rate passes, and a flood does not.
+   * Returns whether all hosts together are within the rate, as far as this host
+   * knows. What may be spent beyond the rate before hosts receive each other's
+   * reports is reserved. So a burst of a customer within its rate is admitted,
+   * and an overload is not.
    */
-  private isWithinWhole(
+  private isWithinGlobalRate(
     balance: Balance,
     customer: string,
     rate: Rate,
@@ -198,28 +234,31 @@
   ): boolean {
     const all =
       this.demand.get(customer) + this.options.sumPeerDemand(customer);
-    const excess = Math.max(0, all - rate.perSecond * this.getHeardShare());
-    const reserved = (excess * WORD_MS) / MS_PER_SECOND;
+    const excess = Math.max(0, all - rate.perSecond * this.getReachableShare());
+    const reserved = (excess * PROPAGATION_MS) / MS_PER_SECOND;
     return (
-      this.hearsMost() &&
+      this.reachesMostHosts() &&
       this.isWarmedUp() &&
       balance.whole.covers(units, reserved)
     );
   }
 
   /**
-   * Tells whether this host has run for long enough to have its peers' demand.
-   * Before that, demand reads as zero and nothing would be reserved.
+   * Returns whether this host has run long enough to have received its peers'
+   * demand. Before that, their demand reads as zero and nothing would be
+   * reserved.
    */
   private isWarmedUp(): boolean {
-    return this.options.clock.monotonicMs() - this.startMs >= WORD_MS;
+    return this.options.clock.monotonicMs() - this.createdMs >= PROPAGATION_MS;
   }
 
   /**
-   * Of many hosts, each is let through a request that is larger than its bucket
-   * only while all together are within the rate: their debts add up.
+   * Returns whether a request larger than this host's bucket exceeds the global
+   * rate. With many hosts, such a request is admitted only while all hosts
+   * together are within the rate: otherwise the overdrafts of their buckets
+   * would add up.
    */
-  private exceedsWhole(
+  private exceedsGlobalRate(
     balance: Balance,
     shareDepth: number,
     units: number,
@@ -227,32 +266,47 @@
     const isMany = this.options.countHosts() > MANY_HOSTS;
     const isLarge = units > shareDepth;
     return (
-      isMany && isLarge && this.hearsMost() && !balance.whole.covers(units)
+      isMany &&
+      isLarge &&
+      this.reachesMostHosts() &&
+      !balance.whole.covers(units)
     );
   }
 
-  /** Tells whether all but a few of the hosts that may be spending are heard. */
-  private hearsMost(): boolean {
-    return 1 - this.getHeardShare() <= FEW_UNHEARD_SHARE;
+  /**
+   * Returns whether nearly all of the hosts that may be admitting requests are
+   * reachable.
+   */
+  private reachesMostHosts(): boolean {
+    return 1 - this.getReachableShare() <= MAX_UNREACHABLE_SHARE;
   }
 
-  /** What the others may spend is left to them. */
-  private getHeardShare(): number {
+  /**
+   * Returns the share of reachable hosts. The rest of the rate is left to the
+   * other hosts.
+   */
+  private getReachableShare(): number {
     const hosts = Math.max(1, this.options.countHosts());
     return Math.min(1, this.options.countHeard() / hosts);
   }
 
-  /** The bound's own room, used for requests that come in clumps. */
+  /**
+   * Returns the part of the allowed excess that may be used for bursts, in
+   * units.
+   */
   private getMargin(rate: Rate): number {
     const {windowMs, overage, slack} = this.options.getBound();
     const inWindow = (rate.perSecond * windowMs) / MS_PER_SECOND + rate.burst;
-    return (overage * inWindow + slack) * MARGIN_SHARE;
+    return (overage * inWindow + slack) * USED_MARGIN_SHARE;
   }
 
-  /** While not every peer has told its demand, only an even part is certain. */
-  private trust(): number {
-    const heard = this.options.countTold() + 1;
-    return Math.min(1, heard / Math.max(1, this.options.countHosts()));
+  /**
+   * Returns the share of hosts whose demand is known. While not every peer has
+   * reported its demand, only the evenly divided part of the rate is certain.
+   */
+  private getDemandCoverage(): number {
+    const reporting = this.options.countTold() + 1;
+    return Math.min(1, reporting / Math.max(1, this.options.countHosts()));
   }
 
   private getBalance(customer: string): Balance {
--- a/src/quota/spending.ts
+++ b/src/quota/spending.ts
@@ -1,4 +1,7 @@
-/** Units of one customer that one start of a host, or several, have let through. */
+/**
+ * Units of one customer that one or several incarnations of hosts have
+ * admitted.
+ */
 export interface Spending {
   readonly customer: string;
   readonly units: number;
--- a/test/quota/quota_test.ts
+++ b/test/quota/quota_test.ts
@@ -15,14 +15,16 @@
   };
 }
 
-/** Quotas of several hosts that tell each other every `toldMs`. */
-class Hosts {
+/**
+ * Quotas of several hosts that report their spending and demand to each other.
+ */
+class SimulatedHosts {
   readonly clock = new VirtualClock();
   readonly quotas: Quota[] = [];
-  readonly passed: {atMs: number; units: number}[] = [];
+  readonly admitted: {atMs: number; units: number}[] = [];
   refused = 0;
-  /** Whether a host hears another. */
-  hears: (to: number, from: number) => boolean = () => true;
+  /** Returns whether a host receives the reports of another. */
+  receives: (to: number, from: number) => boolean = () => true;
 
   constructor(count: number) {
     for (let index = 0; index < count; index++) {
@@ -30,60 +32,63 @@
     }
   }
 
-  /** Starts a host, anew if it ran before. */
+  /** Starts or restarts a host. */
   start(index: number, count: number): void {
     this.quotas[index] = new Quota({
       clock: this.clock,
       sumPeerDemand: customer => {
-        const demands = this.listTold(index).flatMap(quota =>
+        const demands = this.listReporting(index).flatMap(quota =>
           quota.listDemand(),
         );
         return demands
           .filter(demand => demand.customer === customer)
           .reduce((sum, {perSecond}) => sum + perSecond, 0);
       },
-      countTold: () => this.listTold(index).length,
+      countTold: () => this.listReporting(index).length,
       countHosts: () => this.counts[index] ?? count,
-      countHeard: () => this.countHeard(index, count),
+      countHeard: () => this.countReachable(index, count),
       getBound: () => BOUND,
     });
-    this.starts[index] = (this.starts[index] ?? 0) + 1;
-    this.told = new Set(
-      [...this.told].filter(pair => !pair.endsWith(`>${index}`)),
+    this.incarnations[index] = (this.incarnations[index] ?? 0) + 1;
+    this.reported = new Set(
+      [...this.reported].filter(pair => !pair.endsWith(`>${index}`)),
     );
   }
 
-  private listTold(index: number): Quota[] {
+  private listReporting(index: number): Quota[] {
     return this.quotas.filter((_quota, other) =>
-      this.told.has(`${other}>${index}`),
+      this.reported.has(`${other}>${index}`),
     );
   }
 
-  private countHeard(index: number, count: number): number {
-    const unheard = this.quotas.filter(
-      (_quota, other) => other !== index && !this.hears(index, other),
+  private countReachable(index: number, count: number): number {
+    const unreachable = this.quotas.filter(
+      (_quota, other) => other !== index && !this.receives(index, other),
     );
-    return (this.counts[index] ?? count) - unheard.length;
+    return (this.counts[index] ?? count) - unreachable.length;
   }
 
-  /** Which host has told which since that one started. */
-  private told = new Set<string>();
+  /**
+   * Pairs `from>to` of hosts of which one has reported to the other since that
+   * one started.
+   */
+  private reported = new Set<string>();
 
-  private readonly starts: number[] = [];
+  private readonly incarnations: number[] = [];
   private readonly counts: number[] = [];
 
-  /** Has a host know of so many. */
-  setCount(index: number, count: number): void {
+  /** Sets the number of hosts that a host knows. */
+  setKnownHostCount(index: number, count: number): void {
     this.counts[index] = count;
   }
 
-  tell(): void {
+  exchangeReports(): void {
     for (const [from, quota] of this.quotas.entries()) {
       for (const [to, other] of this.quotas.entries()) {
-        if (from !== to && this.hears(to, from)) {
-          const origin = `${from}/${this.starts[from]}`;
+        if (from !== to && this.receives(to, from)) {
+          const origin = `${from}/${this.incarnations[from]}`;
           other.addPeerSpending(origin, quota.listSpending());
-          this.told.add(`${from}>${to}`);
+          this.reported.add(`${from}>${to}`);
         }
       }
     }
@@ -91,21 +96,23 @@
 
   take(index: number, account: Account, units: number): void {
     if (this.quotas[index]?.take(account, units) === 0) {
-      this.passed.push({atMs: this.clock.monotonicMs(), units});
+      this.admitted.push({atMs: this.clock.monotonicMs(), units});
       return;
     }
     this.refused++;
   }
 
-  /** Returns the most units that passed in any span of the bound. */
-  getMostInWindow(sinceMs = 0): number {
+  /**
+   * Returns the maximum number of units admitted in any window of the bound.
+   */
+  getMaxInWindow(sinceMs = 0): number {
     let most = 0;
-    for (const {atMs} of this.passed) {
+    for (const {atMs} of this.admitted) {
       if (atMs < sinceMs) {
         continue;
       }
       let sum = 0;
-      for (const other of this.passed) {
+      for (const other of this.admitted) {
         const inWindow =
           other.atMs >= atMs && other.atMs < atMs + BOUND.windowMs;
         sum += inWindow ? other.units : 0;
@@ -116,14 +123,14 @@
   }
 }
 
-/** Plays requests of mean 6,000 units at a rate, for 30 s. */
-async function play(
-  hosts: Hosts,
+/** Simulates requests with a mean of 6,000 units at a rate, for 30 s. */
+async function simulateLoad(
+  hosts: SimulatedHosts,
   account: Account,
   perSecond: number,
   seed: number,
   onStep: (step: number) => void = () => undefined,
-  stepsPerWord = 4,
+  stepsPerReport = 4,
   skew = 2,
 ): Promise<void> {
   const random = new SeededRandom(seed);
@@ -137,16 +144,16 @@
       const index = Math.floor(random.next() ** skew * hosts.quotas.length);
       hosts.take(index, account, units);
     }
-    if (step % stepsPerWord === 0) {
-      hosts.tell();
+    if (step % stepsPerReport === 0) {
+      hosts.exchangeReports();
     }
     await hosts.clock.advance(100);
   }
 }
 
-/** Plays six requests at once every so often, for 30 s. */
-async function playClumps(
-  hosts: Hosts,
+/** Simulates six concurrent requests every 200 ms, for 30 s. */
+async function simulateBursts(
+  hosts: SimulatedHosts,
   account: Account,
   perSecond: number,
 ): Promise<void> {
@@ -159,7 +166,7 @@
       hosts.take(index, account, Math.ceil(2 * meanUnits * random.next()));
     }
     if (step % 2 === 0) {
-      hosts.tell();
+      hosts.exchangeReports();
     }
     await hosts.clock.advance(pauseMs);
   }
@@ -174,86 +181,108 @@
   const account = createAccount(RATE);
 
   describe('a customer within its rate', () => {
-    it('is hardly ever refused, though large requests meet one host', async () => {
-      const hosts = new Hosts(8);
-      await play(hosts, account, RATE * 0.6, 1);
-      const share = hosts.refused / (hosts.refused + hosts.passed.length);
+    it('is hardly ever refused, although large requests reach one host', async () => {
+      const hosts = new SimulatedHosts(8);
+      await simulateLoad(hosts, account, RATE * 0.6, 1);
+      const share = hosts.refused / (hosts.refused + hosts.admitted.length);
       expect(share).to.be.lessThan(0.03);
     });
 
-    it('is hardly ever refused when its requests come in clumps', async () => {
-      const hosts = new Hosts(8);
-      await playClumps(hosts, account, RATE * 0.6);
-      const share = hosts.refused / (hosts.refused + hosts.passed.length);
+    it('is hardly ever refused when its requests come in bursts', async () => {
+      const hosts = new SimulatedHosts(8);
+      await simulateBursts(hosts, account, RATE * 0.6);
+      const share = hosts.refused / (hosts.refused + hosts.admitted.length);
       expect(share).to.be.lessThan(0.01);
     });
 
     it('is hardly ever refused after all hosts were killed', async () => {
-      const hosts = new Hosts(8);
-      await play(hosts, account, RATE * 0.55, 1, step => {
+      const hosts = new SimulatedHosts(8);
+      await simulateLoad(hosts, account, RATE * 0.55, 1, step => {
         for (let index = 0; step === 150 && index < 8; index++) {
           hosts.start(index, 8);
         }
       });
-      const share = hosts.refused / (hosts.refused + hosts.passed.length);
+      const share = hosts.refused / (hosts.refused + hosts.admitted.length);
       expect(share).to.be.lessThan(0.03);
     });
   });
 
-  describe('of hundreds of hosts that hear each other a second late', () => {
-    const LATE_STEPS = 10;
+  describe('of hundreds of hosts that receive reports with a delay of a second', () => {
+    const STEPS_PER_REPORT = 10;
     const rate = RATE * 3;
 
     it('a customer within its rate is hardly ever refused', async () => {
-      const hosts = new Hosts(195);
-      const calm = createAccount(rate);
-      await play(hosts, calm, rate * 0.6, 1, () => undefined, LATE_STEPS);
-      const share = hosts.refused / (hosts.refused + hosts.passed.length);
+      const hosts = new SimulatedHosts(195);
+      const withinRate = createAccount(rate);
+      await simulateLoad(
+        hosts,
+        withinRate,
+        rate * 0.6,
+        1,
+        () => undefined,
+        STEPS_PER_REPORT,
+      );
+      const share = hosts.refused / (hosts.refused + hosts.admitted.length);
       expect(share).to.be.lessThan(0.01);
     });
 
     it('a customer is hardly ever refused while a few hosts restart', async () => {
-      const hosts = new Hosts(195);
-      hosts.hears = (_to, from) => from >= 10;
-      const calm = createAccount(rate);
-      await play(hosts, calm, rate * 0.6, 1, () => undefined, LATE_STEPS);
-      const share = hosts.refused / (hosts.refused + hosts.passed.length);
+      const hosts = new SimulatedHosts(195);
+      hosts.receives = (_to, from) => from >= 10;
+      const withinRate = createAccount(rate);
+      await simulateLoad(
+        hosts,
+        withinRate,
+        rate * 0.6,
+        1,
+        () => undefined,
+        STEPS_PER_REPORT,
+      );
+      const share = hosts.refused / (hosts.refused + hosts.admitted.length);
       expect(share).to.be.lessThan(0.01);
     });
 
     for (const seed of [1, 2, 3]) {
-      it(`a customer that comes to seven times its rate stays within the bound, seed ${seed}`, async () => {
-        const hosts = new Hosts(195);
-        const flooding = createAccount(rate);
-        await play(hosts, flooding, rate, seed, () => undefined, LATE_STEPS);
-        await play(
+      it(`a customer that increases to seven times its rate stays within the bound, seed ${seed}`, async () => {
+        const hosts = new SimulatedHosts(195);
+        const overloading = createAccount(rate);
+        await simulateLoad(
           hosts,
-          flooding,
+          overloading,
+          rate,
+          seed,
+          () => undefined,
+          STEPS_PER_REPORT,
+        );
+        await simulateLoad(
+          hosts,
+          overloading,
           rate * 7,
           seed,
           () => undefined,
-          LATE_STEPS,
+          STEPS_PER_REPORT,
         );
-        expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(rate));
+        expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(rate));
       }).timeout(60_000);
     }
   });
 
-  describe('a clump of requests over the rate for a moment', () => {
-    it('passes while all hosts together have spent less', async () => {
-      const hosts = new Hosts(23);
-      const clumsy = {...account, rate: {...account.rate, burst: RATE * 4}};
-      // The bucket is full after a while of little.
-      await play(hosts, clumsy, RATE * 0.2, 1);
+  describe('a short burst of requests over the rate', () => {
+    it('is admitted while all hosts together have spent less', async () => {
+      const hosts = new SimulatedHosts(23);
+      const bursty = {...account, rate: {...account.rate, burst: RATE * 4}};
+      // A period of low load fills the bucket.
+      await simulateLoad(hosts, bursty, RATE * 0.2, 1);
       const before = hosts.refused;
       const random = new SeededRandom(3);
       for (let step = 0; step < 30; step++) {
         const units = Math.ceil(RATE * 0.36 * random.next());
-        hosts.take(Math.floor(random.next() * 23), clumsy, units);
-        hosts.tell();
+        hosts.take(Math.floor(random.next() * 23), bursty, units);
+        hosts.exchangeReports();
         await hosts.clock.advance(100);
       }
-      // A host that sees the customer for the first time begins half full.
+      // The bucket of a host that gets the customer's first request is half
+      // full.
       expect(hosts.refused).to.be.at.most(before + 1);
     });
   });
@@ -262,103 +291,103 @@
     describe(`a customer at seven times its rate, seed ${seed}`, () => {
       for (const rate of [RATE, RATE * 6]) {
         it(`stays within the bound at ${rate} a second`, async () => {
-          const hosts = new Hosts(8);
-          await play(hosts, createAccount(rate), rate * 7, seed);
-          expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(rate));
+          const hosts = new SimulatedHosts(8);
+          await simulateLoad(hosts, createAccount(rate), rate * 7, seed);
+          expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(rate));
         });
       }
 
-      it('stays within the bound while hosts do not hear each other', async () => {
-        const hosts = new Hosts(8);
-        await play(hosts, account, RATE * 7, seed, step => {
-          hosts.hears = () => step <= 100;
+      it('stays within the bound while hosts do not receive each other’s reports', async () => {
+        const hosts = new SimulatedHosts(8);
+        await simulateLoad(hosts, account, RATE * 7, seed, step => {
+          hosts.receives = () => step <= 100;
         });
-        expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(RATE));
+        expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(RATE));
       });
 
-      it('stays within the bound while half of the hosts are cut off', async () => {
-        const hosts = new Hosts(8);
-        await play(hosts, account, RATE * 7, seed, step => {
+      it('stays within the bound while the hosts are partitioned in halves', async () => {
+        const hosts = new SimulatedHosts(8);
+        await simulateLoad(hosts, account, RATE * 7, seed, step => {
           const isCut = step > 100 && step < 200;
-          hosts.hears = (to, from) => !isCut || to % 2 === from % 2;
+          hosts.receives = (to, from) => !isCut || to % 2 === from % 2;
         });
-        expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(RATE));
+        expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(RATE));
       });
 
-      it('stays within the bound when one host is killed again and again', async () => {
-        const hosts = new Hosts(8);
-        await play(hosts, account, RATE * 7, seed, step => {
+      it('stays within the bound when one host is killed repeatedly', async () => {
+        const hosts = new SimulatedHosts(8);
+        await simulateLoad(hosts, account, RATE * 7, seed, step => {
           if (step > 100 && step % 30 === 0) {
             hosts.start(0, 8);
           }
         });
-        expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(RATE));
+        expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(RATE));
       });
 
       it('stays within the bound when hosts join', async () => {
-        const hosts = new Hosts(8);
-        await play(hosts, account, RATE * 7, seed, step => {
+        const hosts = new SimulatedHosts(8);
+        await simulateLoad(hosts, account, RATE * 7, seed, step => {
           if (step === 120) {
             for (const [index] of hosts.quotas.entries()) {
-              hosts.setCount(index, 11);
+              hosts.setKnownHostCount(index, 11);
             }
             for (let index = 8; index < 11; index++) {
               hosts.start(index, 11);
             }
           }
         });
-        expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(RATE));
+        expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(RATE));
       });
 
-      it('stays within a lower limit one span after it came', async () => {
-        const hosts = new Hosts(8);
+      it('stays within a lowered limit one window after the change', async () => {
+        const hosts = new SimulatedHosts(8);
         const lower = createAccount(RATE / 3);
-        const clumsy = {...lower, rate: {...lower.rate, burst: RATE}};
-        await play(hosts, account, RATE * 2, seed);
+        const bursty = {...lower, rate: {...lower.rate, burst: RATE}};
+        await simulateLoad(hosts, account, RATE * 2, seed);
         const lowerMs = hosts.clock.monotonicMs();
-        await play(hosts, clumsy, RATE * 2, seed);
+        await simulateLoad(hosts, bursty, RATE * 2, seed);
         const after = lowerMs + BOUND.windowMs;
-        const most = hosts.getMostInWindow(after);
+        const most = hosts.getMaxInWindow(after);
         expect(most).to.be.lessThan(getAllowed(RATE / 3, RATE));
       });
 
       it('stays within the bound when all hosts are killed at once', async () => {
-        const hosts = new Hosts(8);
-        await play(hosts, account, RATE * 7, seed, step => {
+        const hosts = new SimulatedHosts(8);
+        await simulateLoad(hosts, account, RATE * 7, seed, step => {
           for (let index = 0; step === 150 && index < 8; index++) {
             hosts.start(index, 8);
           }
         });
-        expect(hosts.getMostInWindow()).to.be.lessThan(getAllowed(RATE));
+        expect(hosts.getMaxInWindow()).to.be.lessThan(getAllowed(RATE));
       });
     });
   }
 
-  // Guards against buckets that are full twice in one span: once before all hosts are
-  // killed, and in part again when they start.
-  describe('a customer that begins to press, and all hosts killed at once soon after', () => {
-    it('stay within the bound', async () => {
-      const hosts = new Hosts(8);
-      const usual = createAccount(125_230);
-      const pressing = {...usual, rate: {...usual.rate, burst: 63_411}};
-      await play(hosts, pressing, 125_230 * 0.8, 1);
+  // Guards against buckets that are full twice in one window: once before all
+  // hosts are killed, and in part again when they start.
+  describe('a customer that starts an overload shortly before all hosts are killed', () => {
+    it('stays within the bound', async () => {
+      const hosts = new SimulatedHosts(8);
+      const base = createAccount(125_230);
+      const overloading = {...base, rate: {...base.rate, burst: 63_411}};
+      await simulateLoad(hosts, overloading, 125_230 * 0.8, 1);
       const kill = (step: number) => {
         for (let index = 0; step === 70 && index < 8; index++) {
           hosts.start(index, 8);
         }
       };
-      await play(hosts, pressing, 125_230 * 8, 1, kill, 4, 1);
+      await simulateLoad(hosts, overloading, 125_230 * 8, 1, kill, 4, 1);
       const allowed = getAllowed(125_230, 63_411);
-      expect(hosts.getMostInWindow()).to.be.lessThan(allowed);
+      expect(hosts.getMaxInWindow()).to.be.lessThan(allowed);
     });
   });
 
-  describe('small requests of a customer whose large ones are too many', () => {
-    it('pass all the same', async () => {
-      const hosts = new Hosts(8);
+  describe('small requests of a customer with too many large ones', () => {
+    it('are still admitted', async () => {
+      const hosts = new SimulatedHosts(8);
       let small = 0;
       let passed = 0;
-      await play(hosts, account, RATE * 4, 1, step => {
+      await simulateLoad(hosts, account, RATE * 4, 1, step => {
         small++;
         const units = RATE / 200;
         passed += hosts.quotas[step % 8]?.take(account, units) === 0 ? 1 : 0;
@@ -368,9 +397,9 @@
   });
 
   describe('a request larger than any share', () => {
-    it('passes once the bucket is half full', async () => {
-      const hosts = new Hosts(8);
-      hosts.hears = () => false;
+    it('is admitted once the bucket is half full', async () => {
+      const hosts = new SimulatedHosts(8);
+      hosts.receives = () => false;
       hosts.take(0, account, 1);
       await hosts.clock.advance(20_000);
       hosts.take(0, account, 200_000);
