--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -18,7 +18,7 @@
 export interface FleetOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Data centre of this host; its servers are preferred. */
+  /** Data centre of this host, whose servers are closest in the network. */
   readonly dataCentre: string;
   readonly random: Random;
   /** Returns the work that live peers have in flight at a server. */
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -49,14 +49,14 @@
   /** Checks periodically until aborted, then releases the lease. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.look();
+      await this.check();
       await this.options.clock.sleep(this.options.pollMs, signal);
     }
     await this.options.lease.release();
   }
 
   /** Claims the lease and, if it is held, sends the orders that are due. */
-  async look(): Promise<void> {
+  async check(): Promise<void> {
     const held = await this.options.lease.claim();
     if (held === undefined) {
       return;
