--- a/src/relay/answer_relay.ts
+++ b/src/relay/answer_relay.ts
@@ -3,63 +3,63 @@
 import {ExchangeAnswer} from './exchange.js';
 
 /**
- * What the caller of one request has got so far, over all attempts. An answer
- * that has begun is only ever gone on with from the same run.
+ * Relays the answer to one request to its caller, over all attempts. An answer that was
+ * begun is only ever continued from the same run.
  */
 export class AnswerRelay {
   private begun = false;
 
   /**
-   * @param sink - The caller's channel.
-   * @param lastEventId - Last event of a stream that the caller has.
+   * @param sink - Receives the answer.
+   * @param lastEventId - Id of the last event that the caller already has of a stream.
    */
   constructor(
     private readonly sink: AnswerSink,
     private lastEventId: string | undefined,
   ) {}
 
-  /** Tells whether anything of an answer has gone out. */
+  /** Tells whether any part of an answer was relayed. */
   hasBegun(): boolean {
     return this.begun;
   }
 
-  /** Returns the last whole event that has gone out. */
+  /** Returns the id of the last complete event that was relayed. */
   getLastEventId(): string | undefined {
     return this.lastEventId;
   }
 
   /**
-   * Relays an answer to its end.
+   * Relays a complete answer.
    * @param answer - The answer.
-   * @param maxHeldBytes - Bytes held back until the answer is whole: one that
-   *   breaks off before more came can be replaced by another server's.
-   * @param onBytes - Called as bytes come.
-   * @throws Error - When the answer breaks off.
+   * @param maxBufferedBytes - Bytes that are buffered until the answer is complete: if it
+   *   breaks off before more arrived, the answer of another server can replace it.
+   * @param onBytes - Called for each chunk received.
+   * @throws Error - If the answer breaks off.
    */
   async relayBody(
     answer: ExchangeAnswer,
-    maxHeldBytes: number,
+    maxBufferedBytes: number,
     onBytes: () => void,
   ): Promise<void> {
-    const held: Uint8Array[] = [];
-    let room = maxHeldBytes;
+    const buffered: Uint8Array[] = [];
+    let remainingBytes = maxBufferedBytes;
     for await (const bytes of answer.body) {
       onBytes();
-      room -= bytes.length;
-      held.push(bytes);
-      if (room < 0) {
-        await this.relayHeld(answer, held);
+      remainingBytes -= bytes.length;
+      buffered.push(bytes);
+      if (remainingBytes < 0) {
+        await this.relayBuffered(answer, buffered);
       }
     }
-    await this.relayHeld(answer, held);
+    await this.relayBuffered(answer, buffered);
     this.sink.end();
   }
 
   /**
-   * Relays a stream to its end, whole events only.
+   * Relays a complete stream, event by event.
    * @param answer - The answer.
-   * @param onEvents - Called before events go out.
-   * @throws Error - When the stream breaks off.
+   * @param onEvents - Called before events are relayed.
+   * @throws Error - If the stream breaks off.
    */
   async relayStream(
     answer: ExchangeAnswer,
@@ -76,16 +76,16 @@
       this.lastEventId = lastId ?? this.lastEventId;
       await this.sink.write(bytes);
     }
-    await this.relayHeld(answer, [splitter.takeRest()]);
+    await this.relayBuffered(answer, [splitter.takeRest()]);
     this.sink.end();
   }
 
-  private async relayHeld(
+  private async relayBuffered(
     answer: ExchangeAnswer,
-    held: Uint8Array[],
+    buffered: Uint8Array[],
   ): Promise<void> {
     this.begin(answer);
-    for (const bytes of held.splice(0)) {
+    for (const bytes of buffered.splice(0)) {
       if (bytes.length > 0) {
         await this.sink.write(bytes);
       }
--- a/src/relay/answer_sink.ts
+++ b/src/relay/answer_sink.ts
@@ -1,16 +1,16 @@
 import {Problem} from '../errors/index.js';
 import {RawHeader} from './relay_request.js';
 
-/** Where an answer goes: the caller's channel. */
+/** Receives an answer: the connection of a caller. */
 export interface AnswerSink {
-  /** Begins the answer with a server's status and headers. */
+  /** Sends the status and headers of a server's answer. */
   begin(status: number, headers: readonly RawHeader[]): void;
-  /** Sends a piece of the body; resolves when the next may come. */
+  /** Sends a chunk of the body; resolves when the next one can be sent. */
   write(bytes: Uint8Array): Promise<void>;
-  /** Ends a whole answer. */
+  /** Ends a complete answer. */
   end(): void;
-  /** Breaks the channel off, so that the answer cannot look whole. */
+  /** Closes the connection so that the answer cannot be taken for a complete one. */
   breakOff(): void;
-  /** Answers with a problem, in place of a server's answer. */
+  /** Answers with a problem document, in place of a server's answer. */
   refuse(problem: Problem): void;
 }
--- a/src/relay/buffered_answer.ts
+++ b/src/relay/buffered_answer.ts
@@ -1,7 +1,7 @@
 import {ExchangeAnswer} from './exchange.js';
 import {RawHeader} from './relay_request.js';
 
-/** An answer that was read to its end. */
+/** An answer that was read completely. */
 export interface BufferedAnswer {
   readonly status: number;
   readonly headers: readonly RawHeader[];
@@ -9,10 +9,10 @@
 }
 
 /**
- * Reads an answer to its end.
+ * Reads an answer completely.
  * @param answer - The answer.
- * @param maxBytes - Longest body.
- * @throws Error - When it breaks off or is longer.
+ * @param maxBytes - Longest body, in bytes.
+ * @throws Error - If the answer breaks off or its body is longer.
  */
 export async function readAnswer(
   answer: ExchangeAnswer,
@@ -24,7 +24,7 @@
     pieces.push(piece);
     length += piece.length;
     if (length > maxBytes) {
-      throw new Error(`failure answer longer than ${maxBytes} bytes`);
+      throw new Error(`error response body longer than ${maxBytes} bytes`);
     }
   }
   const {status, headers} = answer;
--- a/src/relay/copy_run.ts
+++ b/src/relay/copy_run.ts
@@ -1,16 +1,17 @@
 import {Result} from 'true-myth';
 import {FleetServer} from '../fleet/index.js';
 
-/** An order to copy a run's memory from its server to another. */
+/** Parameters of `CopyRun`. */
 export interface CopyOrder {
   readonly requestId: string;
+  /** Server where the run is in progress. */
   readonly from: FleetServer;
   readonly to: FleetServer;
-  /** Whether the run stops, so that it can go on at the other server. */
+  /** Whether the run is stopped, so that it can continue at the other server. */
   readonly stops: boolean;
 }
 
-/** Why a copy was not made. */
+/** Reason why a copy was not made. */
 export const CopyFailure = {
   /** The server has no such run, or not yet. */
   NO_RUN: 'no-run',
@@ -19,10 +20,10 @@
 export type CopyFailure = (typeof CopyFailure)[keyof typeof CopyFailure];
 
 /**
- * Copies the memory of a running generation; what was copied before is not
- * copied again.
+ * Copies the memory of a running generation from its server to another one; parts that
+ * were copied before are not copied again.
  * @returns The handle of the copy.
  */
 export type CopyRun = (
-  order: CopyOrder,
+  params: CopyOrder,
 ) => Promise<Result<string, CopyFailure>>;
--- a/src/relay/exchange.ts
+++ b/src/relay/exchange.ts
@@ -2,22 +2,22 @@
 import {StatedLimit} from '../limits/index.js';
 import {RawHeader, RelayRequest} from './relay_request.js';
 
-/** One sending of a request to one server. */
+/** Parameters of one exchange with a server. */
 export interface ExchangeOrder {
   readonly request: RelayRequest;
   readonly server: FleetServer;
-  /** Time the server may take, in milliseconds. */
+  /** Time that the server may take, in milliseconds. */
   readonly remainingMs: number;
   /** Rank at the server; 0 is the most urgent. */
   readonly urgency: number;
   /**
-   * Tells whether the server still accepts the request; called on an open channel,
+   * Tells whether the server still accepts the request; called on an open connection,
    * immediately before the first byte is written.
    */
   readonly maySend: () => boolean;
-  /** Event after which a stream is to go on. */
+  /** Id of the event after which the server continues a stream. */
   readonly lastEventId?: string;
-  /** Copy of the run's memory to go on from. */
+  /** Copy of the run's memory from which the server continues. */
   readonly copy?: RunCopy;
 }
 
@@ -28,12 +28,13 @@
   readonly handle: string;
 }
 
-/** How a sending can end before there is an answer to relay. */
+/** Kinds of result of an exchange. */
 export const ExchangeKind = {
+  /** An answer that can be relayed has begun. */
   ANSWERED: 'answered',
-  /** It certainly did not run and never will. */
+  /** The request did not run at this server, and will not. */
   NOT_RUN: 'not-run',
-  /** It may have run. */
+  /** No answer that can be relayed arrived; the request may have run. */
   LOST: 'lost',
 } as const;
 
@@ -42,34 +43,37 @@
   readonly kind: typeof ExchangeKind.ANSWERED;
   readonly status: number;
   readonly headers: readonly RawHeader[];
-  /** What it states of the server's limit; absent where that is not read. */
+  /** Rate limit that the answer states; absent if it is not read. */
   readonly limit?: StatedLimit;
-  /** Throws when the answer breaks off; ends only when it is whole. */
+  /** Throws if the answer breaks off; ends only if it is complete. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** A sending without an answer that can be relayed. */
+/** An exchange that brought no answer that can be relayed. */
 export interface ExchangeFailure {
   readonly kind: typeof ExchangeKind.NOT_RUN | typeof ExchangeKind.LOST;
-  /** What happened, for the log. */
+  /** Description of the failure, for the log. */
   readonly detail: string;
-  /** Whether the server had no room. */
+  /** Whether the server refused the request for lack of capacity. */
   readonly full?: boolean;
-  /** Whether no byte of the request left this host. */
+  /** Whether no byte of the request was sent. */
   readonly unsent?: boolean;
   /** Whether nothing was sent because the server no longer accepts requests. */
   readonly notAccepting?: boolean;
-  /** Whether the server answered what cannot be used, so that it is there. */
+  /** Whether an unusable answer arrived, which shows that the server is running. */
   readonly spoiled?: boolean;
-  /** What the rejection states of the server's limit; absent without an answer. */
+  /** Rate limit that the rejection states; absent without an answer. */
   readonly limit?: StatedLimit;
 }
 
-/** How a sending went. */
+/** Result of an exchange. */
 export type ExchangeResult = ExchangeAnswer | ExchangeFailure;
 
-/** Sends a request to a server, once; aborting cancels it there. */
+/**
+ * Sends a request to a server once and receives the head of its answer; aborting the
+ * signal cancels the request at the server.
+ */
 export type Exchange = (
-  order: ExchangeOrder,
+  params: ExchangeOrder,
   signal: AbortSignal,
 ) => Promise<ExchangeResult>;
--- a/src/relay/index.ts
+++ b/src/relay/index.ts
@@ -1,4 +1,4 @@
-/** The relay: opaque requests, answered by the servers of their routes. */
+/** Relay of opaque requests to the servers of their routes. */
 export type {AnswerSink} from './answer_sink.js';
 export {CopyFailure} from './copy_run.js';
 export type {CopyOrder, CopyRun} from './copy_run.js';
--- a/src/relay/rank_urgency.ts
+++ b/src/relay/rank_urgency.ts
@@ -1,11 +1,14 @@
 import {RelayRequest} from './relay_request.js';
 
-/** Ranks of routes that an engine tells apart within one rank of customers. */
+/** Route ranks that are distinguished within one customer rank. */
 const ROUTE_RANKS = 3;
-/** Least urgent rank that engines know; 0 is the most urgent. */
+/** Least urgent rank that engines support; 0 is the most urgent. */
 const MAX_RANK = 9;
 
-/** Returns a request's rank at its server: the customer's before the route's. */
+/**
+ * Returns the rank of a request at its server, ordered by the urgency of the customer,
+ * then of the route.
+ */
 export function rankUrgency({account, route}: RelayRequest): number {
   const customer = account?.urgency ?? 0;
   const rank =
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -8,45 +8,54 @@
 import {RelayRun} from './relay_run.js';
 
 const MS_PER_SECOND = 1000;
-/** Part of a wait by which callers who come back are spread. */
-const RETRY_SPREAD = 0.3;
+/**
+ * Largest random addition to a retry delay, as a share of it, so that refused callers
+ * do not all retry at once.
+ */
+const RETRY_JITTER = 0.3;
 
-/** Serves opaque requests: admits, chooses servers, retries and relays. */
+/** Serves opaque requests: admission, server choice, retries and relaying. */
 export class Relay {
   private readonly runs = new Set<RelayRun>();
 
   constructor(private readonly options: RelayOptions) {
     const {metrics} = options;
-    options.fleet.addListener(server => this.leave(server));
-    metrics.addCounter('relocated', 'Streams moved off leaving servers');
-    metrics.addCounter('relayed', 'Relayed requests by route and outcome');
+    options.fleet.addListener(server => this.handleServerChange(server));
     metrics.addCounter(
-      'version_runs',
-      'Runs by version of their server and end',
+      'relocated',
+      'Streams relocated from servers that leave',
+    );
+    metrics.addCounter('relayed', 'Requests by route and outcome');
+    metrics.addCounter('version_runs', 'Runs by server version and outcome');
+    metrics.addCounter(
+      'runs_lost',
+      'Runs lost because their server terminated or closed the connection',
+    );
+    metrics.addHistogram(
+      'relay_first_byte',
+      'Time to the first byte of an answer',
     );
-    metrics.addCounter('runs_lost', 'Runs that their server broke off');
-    metrics.addHistogram('relay_first_byte', 'Time to the first byte');
-    metrics.addHistogram('relay_whole', 'Time to the end of an answer');
-    metrics.addGauge('relay_in_flight', 'Requests relayed now', () =>
+    metrics.addHistogram('relay_whole', 'Time to the end of a request');
+    metrics.addGauge('relay_in_flight', 'Requests being relayed', () =>
       this.countRuns(),
     );
   }
 
-  /** Returns the requests being served. */
+  /** Returns the number of requests being served. */
   countRuns(): number {
     return this.runs.size;
   }
 
   /**
-   * Serves one request to its end.
-   * @param request - What the caller asked for.
-   * @param sink - Where the answer goes.
-   * @param left - Aborted when the caller leaves.
+   * Serves one request; resolves when it has been answered, refused or broken off.
+   * @param request - The request of a caller.
+   * @param sink - Receives the answer.
+   * @param disconnected - Aborted when the caller disconnects.
    */
   async serve(
     request: RelayRequest,
     sink: AnswerSink,
-    left: AbortSignal,
+    disconnected: AbortSignal,
   ): Promise<void> {
     const caller = request.account?.name ?? '';
     const content = new WatchedContent(
@@ -54,7 +63,7 @@
       () => ({...request, caller}),
       new WatchedSender(this.options, {caller, route: request.route.name}),
     );
-    const refusal = refuseHeld(content) ?? this.admit(request);
+    const refusal = refuseQuarantined(content) ?? this.admit(request);
     if (refusal !== undefined) {
       this.logRefusal(request, refusal);
       sink.refuse(refusal);
@@ -66,7 +75,7 @@
       content,
       service,
       sink,
-      left,
+      disconnected,
     });
     this.runs.add(run);
     try {
@@ -76,14 +85,17 @@
     }
   }
 
-  /** Moves streams off a server that leaves; ends what ran on one that ended. */
-  private leave(server: FleetServer): void {
+  /**
+   * Relocates streams from a server that leaves, and aborts the attempts at an
+   * incarnation that a later one has replaced.
+   */
+  private handleServerChange(server: FleetServer): void {
     if (server.state === FleetState.READY) {
       return;
     }
     for (const run of this.runs) {
       if (server.state === FleetState.ENDED) {
-        run.giveUpServer(server);
+        run.abandonServer(server);
       } else {
         run.relocate(server);
       }
@@ -99,8 +111,8 @@
     if (waitMs === 0) {
       return undefined;
     }
-    const spreadMs = waitMs * (1 + RETRY_SPREAD * this.options.random.next());
-    return problems.customerOverRate(account.name, spreadMs / MS_PER_SECOND);
+    const retryMs = waitMs * (1 + RETRY_JITTER * this.options.random.next());
+    return problems.customerOverRate(account.name, retryMs / MS_PER_SECOND);
   }
 
   private chooseService(route: Route): string {
@@ -139,7 +151,10 @@
   }
 }
 
-/** Counts what a request takes of its customer's rate. */
+/**
+ * Returns the units that a request uses of its customer's rate: tokens or requests, as
+ * the rate is defined.
+ */
 function countUnits(request: RelayRequest): number {
   const rate = request.account?.rate;
   const {tokensIn, tokensOut} = request.prompt;
@@ -150,16 +165,17 @@
 }
 
 /**
- * Refuses what is kept away from servers, before it counts against its customer's
- * rate: it would end the next one, and break off all that runs there.
+ * Refuses a quarantined request or sender, before the request counts against its
+ * customer's rate. Sent on, it would terminate the next server as well, and
+ * everything that runs there would be lost.
  */
-function refuseHeld(content: WatchedContent): Problem | undefined {
-  const heldMs = content.getHeldMs();
-  if (heldMs > 0) {
-    return problems.quarantined(content.getName(), heldMs / MS_PER_SECOND);
+function refuseQuarantined(content: WatchedContent): Problem | undefined {
+  const blockedMs = content.getHeldMs();
+  if (blockedMs > 0) {
+    return problems.quarantined(content.getName(), blockedMs / MS_PER_SECOND);
   }
-  const senderHeldMs = content.getSenderHeldMs();
-  return senderHeldMs > 0
-    ? problems.senderQuarantined(senderHeldMs / MS_PER_SECOND)
+  const senderBlockedMs = content.getSenderHeldMs();
+  return senderBlockedMs > 0
+    ? problems.senderQuarantined(senderBlockedMs / MS_PER_SECOND)
     : undefined;
 }
--- a/src/relay/relay_attempt.ts
+++ b/src/relay/relay_attempt.ts
@@ -13,111 +13,122 @@
 import {RelayRequest} from './relay_request.js';
 import {endWithAny, SilenceWatch} from '../time/index.js';
 
-/** How an attempt ended. */
-export const AttemptEnd = {
-  /** The caller has its whole answer. */
+/** Outcome of an attempt. */
+export const AttemptOutcome = {
+  /** The complete answer was relayed to the caller. */
   DONE: 'done',
-  /** The server answered with a failure of its own. */
+  /** The server answered with an error status. */
   FAILED: 'failed',
-  /** It certainly did not run and never will. */
+  /** The request did not run at this server, and will not. */
   NOT_RUN: 'not-run',
-  /** It may have run. */
+  /** No complete answer arrived; the request may have run. */
   LOST: 'lost',
 } as const;
-export type AttemptEnd = (typeof AttemptEnd)[keyof typeof AttemptEnd];
+export type AttemptOutcome =
+  (typeof AttemptOutcome)[keyof typeof AttemptOutcome];
 
-/** How an attempt went. */
+/** Result of an attempt. */
 export interface AttemptResult {
-  readonly end: AttemptEnd;
-  /** What went wrong; empty when nothing did. */
+  readonly outcome: AttemptOutcome;
+  /** Description of the failure; empty on success. */
   readonly detail: string;
-  /** What it tells of its server. */
-  readonly judged: FlightEnd;
-  /** Time to the first byte of an answer, in milliseconds; absent without one. */
+  /** Outcome as it counts for the health of the server. */
+  readonly serverOutcome: FlightEnd;
+  /** Time until the first byte of the answer, in milliseconds; absent if none arrived. */
   readonly firstMs?: number;
-  /** Time to its end, in milliseconds. */
+  /** Duration of the attempt, in milliseconds. */
   readonly wholeMs: number;
-  /** The server's own failure, for relaying. */
+  /** Error response of the server, for relaying. */
   readonly failure?: BufferedAnswer;
   /**
-   * Time from the sending until the server's side ended the channel without an
-   * answer, in milliseconds; absent where that is not what happened.
+   * Time from sending until the run was lost because the server terminated or closed the
+   * connection without a complete answer, in milliseconds; absent otherwise.
    */
-  readonly brokenOffMs?: number;
+  readonly lostAfterMs?: number;
 }
 
-/** One sending of a request. */
-export interface AttemptOrder {
+/** Parameters of one attempt. */
+export interface AttemptParams {
   readonly server: FleetServer;
   /** Predicted time to the first token, in milliseconds. */
   readonly predictedMs: number;
-  /** Number of the attempt, from 0, for the log. */
+  /** Index of the attempt, from 0, for the log. */
   readonly number: number;
   readonly remainingMs: number;
   readonly urgency: number;
-  /** Copy of the run's memory to go on from. */
+  /** Copy of the run's memory from which the server continues. */
   readonly copy?: RunCopy;
-  /** Whether the request may go on elsewhere if this server says nothing. */
-  readonly hasSpare: boolean;
+  /** Whether another server may be tried if this one does not respond. */
+  readonly mayRetry: boolean;
 }
 
-/** What an attempt works with besides the relay's options. */
+/** State of the request that its attempts share. */
 export interface AttemptContext {
   readonly request: RelayRequest;
   readonly answer: AnswerRelay;
   readonly record: RelayRecord;
-  /** Aborted when the caller has left or its time is up. */
-  readonly ended: AbortSignal;
-  /** Aborted when the server has ended, whether its channel shows it or not. */
-  readonly lost: AbortSignal;
+  /** Aborted when the caller disconnects or the deadline passes. */
+  readonly cancelled: AbortSignal;
+  /**
+   * Aborted when the server is known to have terminated, even if the connection is still
+   * open.
+   */
+  readonly serverLost: AbortSignal;
 }
 
 const OK_FIRST = 200;
 const OK_LAST = 299;
 const SERVER_ERROR = 500;
-/** Bytes of a repeatable answer that are held until it is whole. */
-const MAX_HELD_BYTES = 65_536;
-/** Bytes of the answer to a failed attempt that are kept for relaying. */
-const MAX_KEPT_BYTES = 262_144;
-/** Time beyond the prediction in which a stream has to begin, in ms. */
-const FIRST_SILENCE_MS = 1200;
-/** Longest pause of a stream that may go on elsewhere, in milliseconds. */
-const NEXT_SILENCE_MS = 700;
-/** Share of its time that a plain request waits for one server. */
-const PLAIN_SILENCE_SHARE = 0.5;
+/** Bytes of the answer to a repeatable request that are buffered until it is complete. */
+const MAX_BUFFERED_BYTES = 65_536;
+/** Longest body of an error response that is kept for relaying. */
+const MAX_FAILURE_BODY_BYTES = 262_144;
+/** Time beyond the predicted one within which a stream must begin, in milliseconds. */
+const FIRST_EVENT_MARGIN_MS = 1200;
+/**
+ * Longest pause between events of a stream that another server may continue, in
+ * milliseconds.
+ */
+const EVENT_GAP_TIMEOUT_MS = 700;
+/**
+ * Part of the route's timeout for which a plain request waits for one server to respond.
+ */
+const PLAIN_TIMEOUT_SHARE = 0.5;
 
-/** One sending of a request to one server, straight down. */
+/** Sends a request once to one server and relays the answer. */
 export class RelayAttempt {
-  /** Absent where the request may not go on elsewhere. */
+  /** Absent if no other server may be tried. */
   private readonly silence: SilenceWatch | undefined;
-  private readonly flight: FleetFlight;
+  private readonly inFlight: FleetFlight;
   private readonly sentMs: number;
-  private readonly ending: AbortSignal;
-  /** Time to the first byte of the answer; absent before. */
+  private readonly abortSignal: AbortSignal;
+  /**
+   * Time until the first byte of the answer, in milliseconds; absent before it arrives.
+   */
   private firstMs: number | undefined;
 
   constructor(
     private readonly options: RelayOptions,
     private readonly context: AttemptContext,
-    private readonly order: AttemptOrder,
+    private readonly params: AttemptParams,
   ) {
-    const {server, predictedMs, urgency} = order;
+    const {server, predictedMs, urgency} = params;
     const {parts} = context.request.prompt;
     this.sentMs = options.clock.monotonicMs();
-    this.flight = options.fleet.startFlight(
+    this.inFlight = options.fleet.startFlight(
       server.id,
       parts,
       predictedMs,
       urgency,
     );
-    this.silence = this.watchSilence();
-    this.ending = this.listenForEnd();
+    this.silence = this.createSilenceWatch();
+    this.abortSignal = this.createAbortSignal();
   }
 
-  /** Sends the request and relays what comes back. */
+  /** Sends the request and relays the answer. */
   async execute(): Promise<AttemptResult> {
     const {request, answer} = this.context;
-    const {server, remainingMs, urgency, copy} = this.order;
+    const {server, remainingMs, urgency, copy} = this.params;
     const lastEventId = answer.getLastEventId();
     const result = await this.options.exchange(
       {
@@ -129,47 +140,50 @@
         ...(copy === undefined ? {} : {copy}),
         ...(lastEventId === undefined ? {} : {lastEventId}),
       },
-      this.ending,
+      this.abortSignal,
     );
     if (result.limit !== undefined) {
       this.options.limits.addAnswer(server.id, result.limit, this.sentMs);
     }
-    const attempted =
+    const attemptResult =
       result.kind === ExchangeKind.ANSWERED
         ? await this.receive(result)
         : this.fail(result);
     this.silence?.stop();
-    return attempted;
+    return attemptResult;
   }
 
   /** Tells whether the server accepts the request in its current state. */
   private acceptsRequest(): boolean {
     const {fleet} = this.options;
-    const {server, copy} = this.order;
+    const {server, copy} = this.params;
     return copy === undefined
       ? fleet.isReady(server.id)
       : fleet.acceptsCopiedRun(server.id);
   }
 
-  /** Returns what ends the sending: the caller, its time, or the server. */
-  private listenForEnd(): AbortSignal {
-    const {ended, lost} = this.context;
-    const signals = [ended, lost];
+  /**
+   * Creates the signal that aborts the exchange: when the caller disconnects, the deadline
+   * passes, the server has terminated or it does not respond in time.
+   */
+  private createAbortSignal(): AbortSignal {
+    const {cancelled, serverLost} = this.context;
+    const signals = [cancelled, serverLost];
     if (this.silence !== undefined) {
       signals.push(this.silence.getSignal());
     }
     return endWithAny(signals);
   }
 
-  /** Gives a silent server up where the request may go on elsewhere. */
-  private watchSilence(): SilenceWatch | undefined {
+  /** Limits the time without a response if another server may be tried. */
+  private createSilenceWatch(): SilenceWatch | undefined {
     const {streaming, timeoutMs} = this.context.request.route;
-    if (!this.order.hasSpare) {
+    if (!this.params.mayRetry) {
       return undefined;
     }
     const firstMs = streaming
-      ? this.order.predictedMs + FIRST_SILENCE_MS
-      : timeoutMs * PLAIN_SILENCE_SHARE;
+      ? this.params.predictedMs + FIRST_EVENT_MARGIN_MS
+      : timeoutMs * PLAIN_TIMEOUT_SHARE;
     return new SilenceWatch(this.options.clock, firstMs);
   }
 
@@ -180,7 +194,7 @@
       }
       await this.relay(answer);
       return this.finish(FlightEnd.SUCCEEDED, {
-        end: AttemptEnd.DONE,
+        outcome: AttemptOutcome.DONE,
         detail: '',
       });
     } catch (error) {
@@ -190,27 +204,30 @@
   }
 
   private async receiveFailure(answer: ExchangeAnswer): Promise<AttemptResult> {
-    this.noteFirstByte();
-    const failure = await readAnswer(answer, MAX_KEPT_BYTES);
-    const isOwnFault = answer.status >= SERVER_ERROR;
-    const detail = `${this.order.server.id}: status ${answer.status}`;
-    return this.finish(isOwnFault ? FlightEnd.FAILED : FlightEnd.SUCCEEDED, {
-      end: AttemptEnd.FAILED,
+    this.recordFirstByte();
+    const failure = await readAnswer(answer, MAX_FAILURE_BODY_BYTES);
+    const isServerFault = answer.status >= SERVER_ERROR;
+    const detail = `${this.params.server.id}: status ${answer.status}`;
+    return this.finish(isServerFault ? FlightEnd.FAILED : FlightEnd.SUCCEEDED, {
+      outcome: AttemptOutcome.FAILED,
       detail,
       failure,
     });
   }
 
-  /** Ends the flight, and says what it tells of the server. */
+  /** Ends the in-flight request and creates the result. */
   private finish(
-    judged: FlightEnd,
-    result: Pick<AttemptResult, 'end' | 'detail' | 'failure' | 'brokenOffMs'>,
+    serverOutcome: FlightEnd,
+    result: Pick<
+      AttemptResult,
+      'outcome' | 'detail' | 'failure' | 'lostAfterMs'
+    >,
   ): AttemptResult {
-    this.flight.finish(judged);
+    this.inFlight.finish(serverOutcome);
     const wholeMs = this.options.clock.monotonicMs() - this.sentMs;
     return {
       ...result,
-      judged,
+      serverOutcome,
       wholeMs,
       ...(this.firstMs === undefined ? {} : {firstMs: this.firstMs}),
     };
@@ -220,55 +237,64 @@
     const {streaming, repeat, timeoutMs} = this.context.request.route;
     if (streaming) {
       await this.context.answer.relayStream(answer, () => {
-        this.noteFirstByte();
-        this.silence?.touch(NEXT_SILENCE_MS);
-        this.flight.addProgress();
+        this.recordFirstByte();
+        this.silence?.touch(EVENT_GAP_TIMEOUT_MS);
+        this.inFlight.addProgress();
       });
       return;
     }
-    this.noteFirstByte();
-    const maxHeldBytes = repeat === Repeat.ANY ? MAX_HELD_BYTES : 0;
-    await this.context.answer.relayBody(answer, maxHeldBytes, () => {
+    this.recordFirstByte();
+    const maxBufferedBytes = repeat === Repeat.ANY ? MAX_BUFFERED_BYTES : 0;
+    await this.context.answer.relayBody(answer, maxBufferedBytes, () => {
       this.silence?.touch(timeoutMs);
     });
   }
 
-  /** Notes that the server answers, the first time it is called. */
-  private noteFirstByte(): void {
+  /** Records the time of the first byte; has no effect after the first call. */
+  private recordFirstByte(): void {
     if (this.firstMs !== undefined) {
       return;
     }
     const tookMs = this.options.clock.monotonicMs() - this.sentMs;
     this.firstMs = tookMs;
-    this.flight.addFirstByte(tookMs);
+    this.inFlight.addFirstByte(tookMs);
     this.context.record.addFirstByte(tookMs);
   }
 
   private fail(failure: ExchangeFailure): AttemptResult {
-    const {server, number} = this.order;
+    const {server, number} = this.params;
     const {kind, detail} = failure;
-    this.context.record.addFailure(server.id, number, kind, detail);
-    return this.finish(this.judge(failure), {
-      end: kind,
+    this.context.record.logFailure(server.id, number, kind, detail);
+    return this.finish(this.getServerOutcome(failure), {
+      outcome: kind,
       detail: `${server.id}: ${detail}`,
-      ...(this.isBrokenOff(failure)
-        ? {brokenOffMs: this.options.clock.monotonicMs() - this.sentMs}
+      ...(this.isServerLoss(failure)
+        ? {lostAfterMs: this.options.clock.monotonicMs() - this.sentMs}
         : {}),
     });
   }
 
-  /** Tells whether the server's side ended the channel, and not this host. */
-  private isBrokenOff({kind, spoiled}: ExchangeFailure): boolean {
+  /**
+   * Tells whether the run was lost because the server terminated or closed the connection,
+   * and not because this host aborted the exchange.
+   */
+  private isServerLoss({kind, spoiled}: ExchangeFailure): boolean {
     if (kind !== ExchangeKind.LOST || spoiled === true) {
       return false;
     }
-    return this.context.lost.aborted || !this.ending.aborted;
+    return this.context.serverLost.aborted || !this.abortSignal.aborted;
   }
 
-  /** Judges what a failed sending tells of its server. */
-  private judge(failure: ExchangeFailure): FlightEnd {
+  /**
+   * Returns the outcome of a failed exchange as it counts for the health of the server.
+   */
+  private getServerOutcome(failure: ExchangeFailure): FlightEnd {
     const {full, notAccepting} = failure;
-    if (this.context.ended.aborted || full === true || notAccepting === true) {
+    if (
+      this.context.cancelled.aborted ||
+      full === true ||
+      notAccepting === true
+    ) {
       return FlightEnd.NEUTRAL;
     }
     const isSilent =
--- a/src/relay/relay_options.ts
+++ b/src/relay/relay_options.ts
@@ -13,7 +13,7 @@
 import {CopyRun} from './copy_run.js';
 import {Exchange} from './exchange.js';
 
-/** What the relay works with. */
+/** Dependencies of a `Relay`. */
 export interface RelayOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -24,12 +24,12 @@
   readonly quota: Quota;
   readonly limits: ServerLimits;
   readonly quarantine: Quarantine;
-  readonly budget: SharedRetryBudget;
-  readonly ledger: UsageLedger;
+  readonly retryBudget: SharedRetryBudget;
+  readonly usageLedger: UsageLedger;
   readonly exchange: Exchange;
   readonly copyRun: CopyRun;
   readonly endedServers: EndedServers;
   readonly senderRuns: SenderRuns;
-  readonly versionGate: Pick<VersionGate, 'draw'>;
+  readonly versionSelector: Pick<VersionGate, 'draw'>;
   readonly versionLedger: VersionLedger;
 }
--- a/src/relay/relay_record.ts
+++ b/src/relay/relay_record.ts
@@ -2,31 +2,36 @@
 import {RelayRequest} from './relay_request.js';
 import {LimitedDecision} from './server_choice.js';
 
-/** How a request ended, for its last log line. */
-export interface RelayEnd {
+/** Outcome of a request, for its last log line. */
+export interface RelayOutcome {
   readonly outcome: string;
   readonly attempts: number;
-  /** What went wrong last; empty when nothing did. */
+  /** Description of the last failure; empty on success. */
   readonly detail: string;
 }
 
-/** A run that its server broke off. */
+/** A run that was lost because its server terminated or closed the connection. */
 export interface LostRun {
-  /** Names the request by what it holds, whatever id it bears. */
+  /**
+   * Fingerprint of the content of the request, which does not depend on the request id.
+   */
   readonly content: string;
   readonly server: string;
-  /** Time since the request was sent there, in milliseconds. */
+  /** Time from sending until the run was lost, in milliseconds. */
   readonly ranMs: number;
-  /** Whether the server is known to have ended. */
-  readonly hasEnded: boolean;
+  /** Whether the server is known to have terminated. */
+  readonly serverTerminated: boolean;
 }
 
-/** Servers of one kind that a line names. */
-const MAX_NAMED = 3;
+/** Most rate-limited servers that a log line lists. */
+const MAX_LISTED_SERVERS = 3;
 
-/** What is logged, counted and billed of one request. */
+/** Logs, counts and bills one request. */
 export class RelayRecord {
-  /** Time from the request's arrival to the first byte of its answer. */
+  /**
+   * Time from the arrival of the request until the first byte of its answer, in
+   * milliseconds.
+   */
   private firstByteMs: number | undefined;
 
   constructor(
@@ -34,8 +39,8 @@
     private readonly request: RelayRequest,
   ) {}
 
-  /** Writes where the request goes, and why. */
-  addDecision(
+  /** Logs which server was chosen for an attempt, and why. */
+  logDecision(
     decision: LimitedDecision,
     attempt: number,
     resumeAfter: string | undefined,
@@ -51,8 +56,8 @@
       attempt,
       server: chosen?.server,
       version: this.getVersion(chosen?.server),
-      server_limit: this.getLimit(chosen?.server),
-      withheld: withheld.slice(0, MAX_NAMED).join(',') || undefined,
+      server_limit: this.getRateLimit(chosen?.server),
+      withheld: withheld.slice(0, MAX_LISTED_SERVERS).join(',') || undefined,
       target_ms: request.route.targetMs,
       predicted_ms: chosen?.firstTokenMs.toFixed(0),
       queue_ms: chosen?.queueMs.toFixed(0),
@@ -63,22 +68,21 @@
     });
   }
 
-  /** Returns the version of the chosen server. */
   private getVersion(server: string | undefined): string | undefined {
     return server === undefined
       ? undefined
       : this.options.fleet.get(server)?.version;
   }
 
-  /** Returns the limit that the chosen server names, in requests a second. */
-  private getLimit(server: string | undefined): number | undefined {
+  /** Returns the rate limit that a server states, in requests per second. */
+  private getRateLimit(server: string | undefined): number | undefined {
     return server === undefined
       ? undefined
       : this.options.limits.getLimit(server);
   }
 
-  /** Writes that an attempt brought no answer. */
-  addFailure(
+  /** Logs an attempt that brought no complete answer. */
+  logFailure(
     server: string,
     attempt: number,
     kind: string,
@@ -93,38 +97,41 @@
     });
   }
 
-  /** Writes that a server broke the request off while it worked on it. */
-  addLoss({content, server, ranMs, hasEnded}: LostRun): void {
-    this.options.metrics.increment('runs_lost', {ended: String(hasEnded)});
+  /** Logs and counts a lost run. */
+  addLostRun({content, server, ranMs, serverTerminated}: LostRun): void {
+    this.options.metrics.increment('runs_lost', {
+      ended: String(serverTerminated),
+    });
     this.options.log.warn('run_lost', {
       request: this.request.id,
       content,
       server,
       ran_ms: ranMs.toFixed(0),
-      server_ended: hasEnded,
+      server_ended: serverTerminated,
     });
   }
 
   /**
-   * Counts that a server began to answer: the customer is billed for it.
-   * @param tookMs - Time since the request was sent there.
+   * Records the first byte of an answer, at which the customer is billed; has no effect
+   * after the first call.
+   * @param tookMs - Time since the request was sent to the server, in milliseconds.
    */
   addFirstByte(tookMs: number): void {
     if (this.firstByteMs !== undefined) {
       return;
     }
-    const {clock, metrics, ledger} = this.options;
+    const {clock, metrics, usageLedger} = this.options;
     const {route, account, arrivedMs} = this.request;
     this.firstByteMs = clock.monotonicMs() - arrivedMs;
     metrics.record('relay_first_byte', this.firstByteMs, {route: route.name});
     if (account !== undefined) {
-      // A plain request began when it was sent, a stream with its first token.
-      ledger.add(account.name, route.streaming ? 0 : tookMs);
+      // A plain request is billed as of its sending, a stream as of its first token.
+      usageLedger.add(account.name, route.streaming ? 0 : tookMs);
     }
   }
 
-  /** Writes how the request ended. */
-  addEnd({outcome, attempts, detail}: RelayEnd): void {
+  /** Logs and counts the outcome of the request. */
+  addOutcome({outcome, attempts, detail}: RelayOutcome): void {
     const {request} = this;
     const {log, metrics, clock} = this.options;
     const {name: route, streaming, targetMs} = request.route;
--- a/src/relay/relay_request.ts
+++ b/src/relay/relay_request.ts
@@ -1,21 +1,21 @@
 import {Account, Route} from '../catalog/index.js';
 import {PromptPart} from '../fleet/index.js';
 
-/** A header as it was sent: name and value. */
+/** A header as it was received: name and value. */
 export type RawHeader = readonly [name: string, value: string];
 
-/** What a request tells of its prompt. */
+/** Description of a prompt, from the headers of its request. */
 export interface Prompt {
-  /** Parts in order; requests share leading parts. */
+  /** Parts in order; requests may have leading parts in common. */
   readonly parts: readonly PromptPart[];
   readonly tokensIn: number;
-  /** Most tokens the answer may have. */
+  /** Largest number of tokens that the answer may have. */
   readonly tokensOut: number;
 }
 
-/** A request to be served by a server of its route, as one caller sent it once. */
+/** A request to be served by a server of its route, as a caller sent it once. */
 export interface RelayRequest {
-  /** The caller's id of this sending of the request. */
+  /** Id that the caller gave to the request, different each time it is sent. */
   readonly id: string;
   readonly method: string;
   /** Path and query, unchanged. */
@@ -24,14 +24,14 @@
   readonly headers: readonly RawHeader[];
   readonly body: Uint8Array;
   readonly route: Route;
-  /** Absent on routes that need no key. */
+  /** Account of the customer; absent on routes that need no key. */
   readonly account?: Account;
-  /** Empty parts and zero tokens for requests that carry no prompt. */
+  /** Has no parts and zero tokens if the request has no prompt. */
   readonly prompt: Prompt;
-  /** When it arrived, monotonic milliseconds. */
+  /** Time of arrival, in monotonic milliseconds. */
   readonly arrivedMs: number;
-  /** When its caller stops waiting, or the route does; monotonic milliseconds. */
+  /** Earlier of the deadlines of the caller and the route, in monotonic milliseconds. */
   readonly deadlineMs: number;
-  /** Last event that the caller already has of a stream. */
+  /** Id of the last event that the caller already has of a stream. */
   readonly lastEventId?: string;
 }
--- a/src/relay/relay_run.ts
+++ b/src/relay/relay_run.ts
@@ -9,258 +9,270 @@
 import {AnswerRelay} from './answer_relay.js';
 import {AnswerSink} from './answer_sink.js';
 import {BufferedAnswer} from './buffered_answer.js';
-import {CopiedRun, copyAway} from './copy_away.js';
+import {CopiedRun, relocateRun} from './relocate_run.js';
 import {rankUrgency} from './rank_urgency.js';
-import {AttemptEnd, AttemptResult, RelayAttempt} from './relay_attempt.js';
+import {AttemptOutcome, AttemptResult, RelayAttempt} from './relay_attempt.js';
 import {RelayOptions} from './relay_options.js';
 import {RelayRecord} from './relay_record.js';
 import {RelayRequest} from './relay_request.js';
-import {RunWatch, WatchedResult} from './run_watch.js';
+import {RunObserver, ObservedResult} from './run_observer.js';
 import {LimitedDecision, ServerChoice} from './server_choice.js';
 
-/** Time left below which nothing is sent any more, in milliseconds. */
+/** Time before the deadline within which no attempt is begun, in milliseconds. */
 const MIN_REMAINING_MS = 5;
-/** Servers asked beyond the attempts allowed, while none has run the request. */
-const MAX_NOT_RUN = 3;
+/**
+ * Attempts beyond the route's limit, for servers that report that they did not run the
+ * request.
+ */
+const MAX_NOT_RUN_ATTEMPTS = 3;
 const SERVER_ERROR = 500;
 const MS_PER_SECOND = 1000;
-/** Made once: an error made for each request costs a trace of the stack. */
-const TOO_LATE = new Error('deadline passed');
-/** Part of a wait by which callers who come back are spread. */
-const RETURN_SPREAD = 0.3;
-/** Time to come back after a refusal for want of room, in seconds. */
-const FULL_RETRY_S = 0.25;
+/** Created once: an error per request would cost a stack trace each. */
+const DEADLINE_PASSED = new Error('deadline passed');
+/**
+ * Largest random addition to a retry delay, as a share of it, so that refused callers
+ * do not all retry at once.
+ */
+const RETRY_JITTER = 0.3;
+/** Shortest retry delay after a refusal for lack of capacity, in seconds. */
+const NO_CAPACITY_RETRY_S = 0.25;
 
-/** What one run serves, and for whom. */
-export interface RelayOrder {
+/** Parameters of a `RelayRun`. */
+export interface RelayRunParams {
   readonly request: RelayRequest;
   readonly content: WatchedContent;
-  /** Service of the route that was drawn. */
+  /** Service that was selected from the route's weighted services. */
   readonly service: string;
-  /** Where the answer goes. */
+  /** Receives the answer. */
   readonly sink: AnswerSink;
-  /** Aborted when the caller leaves. */
-  readonly left: AbortSignal;
+  /** Aborted when the caller disconnects. */
+  readonly disconnected: AbortSignal;
 }
 
-/** One request on its way through its attempts, straight down. */
+/** Serves one request by one or more attempts, one after the other. */
 export class RelayRun {
-  private readonly late = new AbortController();
-  private readonly ended: AbortSignal;
+  private readonly expired = new AbortController();
+  private readonly cancelled: AbortSignal;
   private readonly attempts: Attempts;
   private readonly record: RelayRecord;
-  private readonly watch: RunWatch;
+  private readonly observer: RunObserver;
   private readonly answer: AnswerRelay;
   private readonly choice: ServerChoice;
-  /** A server's own failure, relayed unless a later attempt does better. */
-  private kept: BufferedAnswer | undefined;
+  /** Error response of a server, relayed unless a later attempt succeeds. */
+  private serverFailure: BufferedAnswer | undefined;
   private outcome = 'answered';
-  private lastDetail = '';
-  /** Server that works on the request now. */
+  private failureDetail = '';
+  /** Server of the current attempt. */
   private server: FleetServer | undefined;
-  /** Ends the attempt at that server. */
-  private lost = new AbortController();
+  /** Aborts the current attempt when its server has terminated. */
+  private serverLost = new AbortController();
   private relocation: Promise<void> | undefined;
-  /** Where the run goes on, with its memory. */
-  private copied: CopiedRun | undefined;
+  /** Server where the run continues, and the copy of its memory there. */
+  private copiedRun: CopiedRun | undefined;
 
   private readonly request: RelayRequest;
   private readonly content: WatchedContent;
   private readonly service: string;
   private readonly sink: AnswerSink;
-  private readonly left: AbortSignal;
+  private readonly disconnected: AbortSignal;
 
   constructor(
     private readonly options: RelayOptions,
-    order: RelayOrder,
+    params: RelayRunParams,
   ) {
-    const {request, service, sink, left} = order;
+    const {request, service, sink, disconnected} = params;
     this.request = request;
-    this.content = order.content;
+    this.content = params.content;
     this.service = service;
     this.sink = sink;
-    this.left = left;
-    this.ended = endWithAny([left, this.late.signal]);
+    this.disconnected = disconnected;
+    this.cancelled = endWithAny([disconnected, this.expired.signal]);
     this.answer = new AnswerRelay(sink, request.lastEventId);
     this.record = new RelayRecord(options, request);
-    this.watch = new RunWatch(options, {
+    this.observer = new RunObserver(options, {
       route: request.route.name,
-      content: order.content,
+      content: params.content,
       record: this.record,
     });
     this.attempts = new Attempts({
       repeat: request.route.repeat,
       maxRuns: request.route.maxAttempts,
-      maxNotRun: MAX_NOT_RUN,
-      spendRetry: () => options.budget.spend(service),
+      maxNotRun: MAX_NOT_RUN_ATTEMPTS,
+      spendRetry: () => options.retryBudget.spend(service),
     });
     const {attempts} = this;
     this.choice = new ServerChoice(options, {request, service, attempts});
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request; resolves when it has ended. */
   async execute(): Promise<void> {
-    this.options.budget.addRequest(this.service);
+    this.options.retryBudget.addRequest(this.service);
     this.options.limits.addRequest(this.service, rankUrgency(this.request));
     const timer = setTimeout(
-      () => this.late.abort(TOO_LATE),
+      () => this.expired.abort(DEADLINE_PASSED),
       this.getRemainingMs(),
     );
     try {
-      while (await this.tryOnce()) {
-        // Each round is one attempt.
+      while (await this.makeAttempt()) {
+        // Each iteration is one attempt.
       }
     } finally {
       clearTimeout(timer);
     }
-    this.record.addEnd({
+    this.record.addOutcome({
       outcome: this.outcome,
       attempts: this.attempts.count(),
-      detail: this.outcome === 'answered' ? '' : this.lastDetail,
+      detail: this.outcome === 'answered' ? '' : this.failureDetail,
     });
   }
 
   /**
-   * Moves the request off a server that leaves, if it is there and may go on
-   * only with its memory.
+   * Relocates the request from a server that leaves, if it runs there and may continue
+   * only with a copy of its memory.
    */
   relocate(server: FleetServer): void {
     const {streaming, repeat} = this.request.route;
     if (this.server?.id === server.id && streaming && repeat === Repeat.ONCE) {
-      this.relocation ??= this.moveFrom(server).finally(() => {
+      this.relocation ??= this.relocateFrom(server).finally(() => {
         this.relocation = undefined;
       });
     }
   }
 
-  /** Notes that a server has started anew: what it had of the request is lost. */
-  giveUpServer(server: FleetServer): void {
-    if (this.copied?.server.id === server.id) {
-      this.copied = undefined;
+  /**
+   * Aborts the attempt at an incarnation of a server that a later one has replaced, and
+   * discards a copy of the run there: both are lost.
+   */
+  abandonServer(server: FleetServer): void {
+    if (this.copiedRun?.server.id === server.id) {
+      this.copiedRun = undefined;
     }
     if (this.server?.id === server.id) {
-      this.lost.abort();
+      this.serverLost.abort();
     }
   }
 
-  private async moveFrom(from: FleetServer): Promise<void> {
-    this.copied =
-      (await copyAway(this.options, from, {
+  private async relocateFrom(from: FleetServer): Promise<void> {
+    this.copiedRun =
+      (await relocateRun(this.options, from, {
         requestId: this.request.id,
-        isThere: () => this.isAt(from),
+        isAtSource: () => this.isRunningOn(from),
         isDestinationReady: ({id}) => this.options.fleet.isReady(id),
         chooseDestination: () => this.chooseDestination(from),
-        ended: this.ended,
-      })) ?? this.copied;
-    const {copied} = this;
-    if (copied?.copy.source !== from.address) {
+        cancelled: this.cancelled,
+      })) ?? this.copiedRun;
+    const {copiedRun} = this;
+    if (copiedRun?.copy.source !== from.address) {
       return;
     }
     this.options.metrics.increment('relocated');
     this.options.log.info('relocated', {
       request: this.request.id,
       server: from.id,
-      to: copied.server.id,
+      to: copiedRun.server.id,
       after_event: this.answer.getLastEventId(),
     });
   }
 
-  private isAt(server: FleetServer): boolean {
-    return this.server?.id === server.id && !this.ended.aborted;
+  private isRunningOn(server: FleetServer): boolean {
+    return this.server?.id === server.id && !this.cancelled.aborted;
   }
 
   private chooseDestination(from: FleetServer): FleetServer | undefined {
     this.attempts.exclude(from.id);
-    const destination = this.choice.getServer(this.choice.chooseBeside(from));
+    const destination = this.choice.getServer(
+      this.choice.chooseSameVersion(from),
+    );
     if (destination !== undefined) {
       this.options.limits.take(destination.id);
     }
     return destination;
   }
 
-  /** Makes one attempt; returns whether another is to follow. */
-  private async tryOnce(): Promise<boolean> {
+  /** Makes one attempt; returns whether another one follows. */
+  private async makeAttempt(): Promise<boolean> {
     if (this.isOver()) {
       return false;
     }
-    const heldMs = this.watch.getHeldMs(this.answer.hasBegun());
-    if (heldMs > 0) {
-      this.addDetail('kept away from servers');
-      const seconds = heldMs / MS_PER_SECOND;
+    const blockedMs = this.observer.getBlockedMs(this.answer.hasBegun());
+    if (blockedMs > 0) {
+      this.addDetail('quarantined');
+      const seconds = blockedMs / MS_PER_SECOND;
       return this.fail(problems.quarantined(this.content.getName(), seconds));
     }
     if (!this.attempts.begin()) {
-      this.addDetail('retry budget spent');
+      this.addDetail('retry budget exhausted');
       return this.fail();
     }
-    const {copied} = this;
+    const {copiedRun} = this;
     const decision = this.choice.choose();
-    this.record.addDecision(
+    this.record.logDecision(
       decision,
       this.attempts.count() - 1,
       this.answer.getLastEventId(),
     );
-    const server = copied?.server ?? this.choice.getServer(decision);
+    const server = copiedRun?.server ?? this.choice.getServer(decision);
     if (server === undefined || decision.chosen === undefined) {
       return this.failWithoutServer(decision);
     }
-    const unreachable = this.refuseLateStart(decision.chosen);
+    const unreachable = this.refuseDelayedStream(decision.chosen);
     if (unreachable !== undefined) {
       this.outcome = unreachable.kind;
       this.sink.refuse(unreachable);
       return false;
     }
-    if (copied === undefined) {
+    if (copiedRun === undefined) {
       this.options.limits.take(server.id);
     }
     const predictedMs = decision.chosen.firstTokenMs;
-    const result = await this.watch.run(server, () =>
-      this.attempt(server, predictedMs, copied),
+    const result = await this.observer.run(server, () =>
+      this.executeAttempt(server, predictedMs, copiedRun),
     );
-    if (result.end === AttemptEnd.DONE) {
+    if (result.outcome === AttemptOutcome.DONE) {
       return false;
     }
-    // The channel of a run that was stopped may close before the word of it.
+    // The connection of a stopped run may close before the reply to the copy request
+    // arrives, so wait for the relocation to finish.
     await this.relocation;
-    if (this.copied !== undefined && this.copied !== copied) {
+    if (this.copiedRun !== undefined && this.copiedRun !== copiedRun) {
       return true;
     }
-    return this.goOn(server, result);
+    return this.handleFailure(server, result);
   }
 
-  private async attempt(
+  private async executeAttempt(
     server: FleetServer,
     predictedMs: number,
-    copied: CopiedRun | undefined,
-  ): Promise<WatchedResult> {
-    const {request, answer, record, ended} = this;
+    copiedRun: CopiedRun | undefined,
+  ): Promise<ObservedResult> {
+    const {request, answer, record, cancelled} = this;
     this.server = server;
-    this.lost = new AbortController();
-    const lost = this.lost.signal;
+    this.serverLost = new AbortController();
+    const serverLost = this.serverLost.signal;
     const attempt = new RelayAttempt(
       this.options,
-      {request, answer, record, ended, lost},
+      {request, answer, record, cancelled, serverLost},
       {
         server,
         predictedMs,
         number: this.attempts.count() - 1,
         remainingMs: this.getRemainingMs(),
         urgency: rankUrgency(request),
-        hasSpare: this.attempts.hasSpare(),
-        ...(copied === undefined ? {} : {copy: copied.copy}),
+        mayRetry: this.attempts.hasSpare(),
+        ...(copiedRun === undefined ? {} : {copy: copiedRun.copy}),
       },
     );
     const result = await attempt.execute();
     this.server = undefined;
-    return {...result, serverIsLost: lost.aborted};
+    return {...result, serverTerminated: serverLost.aborted};
   }
 
-  /** Settles an attempt without an answer; returns whether another follows. */
-  private goOn(server: FleetServer, result: AttemptResult): boolean {
-    this.lastDetail = result.detail;
-    this.kept = result.failure ?? this.kept;
-    const mayHaveRun = result.end !== AttemptEnd.NOT_RUN;
-    const mayAskAnother = this.attempts.fail(server.id, mayHaveRun);
+  /** Handles an attempt that brought no answer; returns whether another one follows. */
+  private handleFailure(server: FleetServer, result: AttemptResult): boolean {
+    this.failureDetail = result.detail;
+    this.serverFailure = result.failure ?? this.serverFailure;
+    const mayHaveRun = result.outcome !== AttemptOutcome.NOT_RUN;
+    const mayRetry = this.attempts.fail(server.id, mayHaveRun);
     if (this.isOver()) {
       return false;
     }
@@ -268,14 +280,17 @@
       result.failure !== undefined &&
       result.failure.status < SERVER_ERROR &&
       !this.answer.hasBegun();
-    if (isFinal || !mayAskAnother || (mayHaveRun && !this.canGoOn())) {
+    if (isFinal || !mayRetry || (mayHaveRun && !this.canContinue())) {
       return this.fail();
     }
     return true;
   }
 
-  /** A stream goes on after an event; what has not begun begins anew. */
-  private canGoOn(): boolean {
+  /**
+   * Tells whether another server may continue the request: if no part of an answer was
+   * relayed, it starts over; a resumable stream continues after the last event relayed.
+   */
+  private canContinue(): boolean {
     if (!this.answer.hasBegun()) {
       return true;
     }
@@ -284,14 +299,17 @@
     return repeat === Repeat.RESUME && after !== undefined;
   }
 
-  /** Settles a request whose caller has left or whose time is up. */
+  /** Ends a request whose caller has disconnected or whose deadline has passed. */
   private isOver(): boolean {
-    if (this.left.aborted) {
+    if (this.disconnected.aborted) {
       this.outcome = 'caller-left';
       this.sink.breakOff();
       return true;
     }
-    if (this.late.signal.aborted || this.getRemainingMs() < MIN_REMAINING_MS) {
+    if (
+      this.expired.signal.aborted ||
+      this.getRemainingMs() < MIN_REMAINING_MS
+    ) {
       this.addDetail('deadline passed');
       this.fail();
       return true;
@@ -300,8 +318,10 @@
   }
 
   /**
-   * Ends the request with the best answer that there is; returns `false`.
-   * @param refusal - Why it is sent to no server, where that is known to be for a while.
+   * Ends the request without a complete answer: breaks off one that was begun, else
+   * relays the error response of a server, else refuses the request. Returns `false`.
+   * @param refusal - Used where no server may have run the request; left out, it is
+   *   refused for lack of capacity.
    */
   private fail(refusal?: Problem): false {
     if (this.answer.hasBegun()) {
@@ -309,10 +329,10 @@
       this.sink.breakOff();
       return false;
     }
-    if (this.kept !== undefined) {
-      this.outcome = `server-status-${this.kept.status}`;
-      this.sink.begin(this.kept.status, this.kept.headers);
-      void this.sink.write(this.kept.body).then(() => this.sink.end());
+    if (this.serverFailure !== undefined) {
+      this.outcome = `server-status-${this.serverFailure.status}`;
+      this.sink.begin(this.serverFailure.status, this.serverFailure.headers);
+      void this.sink.write(this.serverFailure.body).then(() => this.sink.end());
       return false;
     }
     const problem = this.createProblem(refusal);
@@ -321,49 +341,52 @@
     return false;
   }
 
-  /** Ends a request that there is no server for, or only such whose limits are used up. */
+  /**
+   * Ends a request for which no server is available, or only servers whose rate limits
+   * are used up.
+   */
   private failWithoutServer({withheld}: LimitedDecision): false {
     const {limits, random} = this.options;
     if (withheld.length === 0) {
-      this.lastDetail ||= 'no server';
+      this.failureDetail ||= 'no server available';
       return this.fail();
     }
     this.addDetail('limits of servers used up');
-    const returnMs = limits.addRefused(this.service, withheld);
-    const spreadMs = returnMs * (1 + RETURN_SPREAD * random.next());
+    const retryMs = limits.addRefused(this.service, withheld);
+    const jitteredMs = retryMs * (1 + RETRY_JITTER * random.next());
     return this.fail(
-      problems.serviceLimited(this.service, spreadMs / MS_PER_SECOND),
+      problems.serviceLimited(this.service, jitteredMs / MS_PER_SECOND),
     );
   }
 
   /**
-   * Refuses a stream at its first attempt where it could not begin in time: sent,
-   * it would be given up by its caller, and would keep others waiting.
+   * Refuses a new stream before its first attempt if its predicted wait exceeds the
+   * first-token target: its caller would give up, and it would delay other requests.
    */
-  private refuseLateStart({waitMs = 0}: ScoredServer): Problem | undefined {
+  private refuseDelayedStream({waitMs = 0}: ScoredServer): Problem | undefined {
     const {request, options, answer} = this;
-    const isFirst = this.attempts.count() === 1 && this.copied === undefined;
-    const goesOn = answer.getLastEventId() !== undefined;
-    if (!request.route.streaming || !isFirst || goesOn) {
+    const isFirst = this.attempts.count() === 1 && this.copiedRun === undefined;
+    const isResumed = answer.getLastEventId() !== undefined;
+    if (!request.route.streaming || !isFirst || isResumed) {
       return undefined;
     }
     return decideByWait(waitMs, request.route.targetMs, options.random);
   }
 
-  /** Notes what else went wrong, after what did before. */
+  /** Appends to the detail of the last failure. */
   private addDetail(detail: string): void {
-    this.lastDetail =
-      this.lastDetail === '' ? detail : `${this.lastDetail}; ${detail}`;
+    this.failureDetail =
+      this.failureDetail === '' ? detail : `${this.failureDetail}; ${detail}`;
   }
 
   private createProblem(refusal: Problem | undefined): Problem {
     if (this.attempts.mayHaveRun()) {
-      return this.late.signal.aborted
+      return this.expired.signal.aborted
         ? problems.deadlinePassed(Ran.UNKNOWN)
-        : problems.serverLost(this.lastDetail);
+        : problems.serverLost(this.failureDetail);
     }
-    const spread = FULL_RETRY_S * (1 + this.options.random.next());
-    return refusal ?? problems.noRoom(this.service, spread);
+    const retryS = NO_CAPACITY_RETRY_S * (1 + this.options.random.next());
+    return refusal ?? problems.noRoom(this.service, retryS);
   }
 
   private getRemainingMs(): number {
--- a/src/relay/server_choice.ts
+++ b/src/relay/server_choice.ts
@@ -6,55 +6,60 @@
 import {RelayOptions} from './relay_options.js';
 import {RelayRequest} from './relay_request.js';
 
-/** What a choice is made for. */
-export interface ChoiceOrder {
+/** Parameters of a `ServerChoice`. */
+export interface ChoiceParams {
   readonly request: RelayRequest;
-  /** Service whose servers are chosen from. */
+  /** Service whose servers are considered. */
   readonly service: string;
-  /** Names the servers that must not get the request again. */
+  /** Attempts made so far: the servers that were tried must not get the request again. */
   readonly attempts: Attempts;
 }
 
-/** A choice, and what limits kept it from. */
+/** A routing decision, and the servers that rate limits excluded from it. */
 export interface LimitedDecision extends RoutingDecision {
-  /** Servers that the request may go to but for their limits. */
+  /** Servers that are excluded only by their rate limits. */
   readonly withheld: readonly string[];
 }
 
-/** Share of its target that a request may spend where that saves prefill. */
+/** Part of its target that a request may use up where this saves prefill. */
 const SLACK_SHARE = 0.4;
 
-/** Chooses servers for one request. */
+/** Chooses the servers for the attempts at one request. */
 export class ServerChoice {
   constructor(
     private readonly options: RelayOptions,
-    private readonly order: ChoiceOrder,
+    private readonly params: ChoiceParams,
   ) {}
 
-  /** Chooses a server by what is known now. */
+  /** Chooses a server for the next attempt, by what is known now. */
   choose(): LimitedDecision {
-    const isFirst = this.order.attempts.count() <= 1;
-    const {service} = this.order;
-    return this.chooseOf(this.options.versionGate.draw(service, isFirst));
+    const isFirst = this.params.attempts.count() <= 1;
+    const {service} = this.params;
+    return this.chooseAllowed(
+      this.options.versionSelector.draw(service, isFirst),
+    );
   }
 
-  /** Chooses where a run goes on with its memory: at a server of the same version. */
-  chooseBeside(from: FleetServer): LimitedDecision {
-    return this.chooseOf(({version}) => version === from.version);
+  /**
+   * Chooses a server of the same version, where a run can continue from a copy of its
+   * memory.
+   */
+  chooseSameVersion(from: FleetServer): LimitedDecision {
+    return this.chooseAllowed(({version}) => version === from.version);
   }
 
-  private chooseOf(allows: AllowsServer | undefined): LimitedDecision {
+  private chooseAllowed(allows: AllowsServer | undefined): LimitedDecision {
     const {fleet, limits, random} = this.options;
-    const {request, service, attempts} = this.order;
+    const {request, service, attempts} = this.params;
     const {prompt} = request;
-    const withheld = this.listWithheld(allows);
-    const known = fleet.listKnowledge(service, {
+    const withheld = this.listRateLimited(allows);
+    const candidates = fleet.listKnowledge(service, {
       parts: prompt.parts,
       urgency: rankUrgency(request),
       excluded: attempts.excluded,
-      allows: narrow(allows, withheld),
+      allows: excludeServers(allows, withheld),
     });
-    const due = known.filter(
+    const trialServers = candidates.filter(
       ({server, ejected}) =>
         !ejected && !attempts.excluded.has(server) && limits.isTrialDue(server),
     );
@@ -65,55 +70,58 @@
         excluded: attempts.excluded,
         slackMs: this.getSlackMs(),
       },
-      due.length > 0 ? due : known,
+      trialServers.length > 0 ? trialServers : candidates,
       random,
     );
     return {...decision, withheld};
   }
 
-  /** Returns the server of a decision. */
+  /** Returns the chosen server; absent if there is none or it is no longer known. */
   getServer({chosen}: RoutingDecision): FleetServer | undefined {
     return chosen === undefined
       ? undefined
       : this.options.fleet.get(chosen.server);
   }
 
-  /** Lists the servers that only their limits keep the request from. */
-  private listWithheld(allows: AllowsServer | undefined): readonly string[] {
+  /** Lists the servers that are excluded only by their rate limits. */
+  private listRateLimited(allows: AllowsServer | undefined): readonly string[] {
     const {fleet, limits} = this.options;
     if (!limits.hasAny()) {
       return [];
     }
-    const {request, service, attempts} = this.order;
-    const isOpen = (server: FleetServer) =>
+    const {request, service, attempts} = this.params;
+    const isCandidate = (server: FleetServer) =>
       server.state === FleetState.READY &&
       !attempts.excluded.has(server.id) &&
       allows?.(server) !== false;
-    const hasFree = fleet.hasReady(
+    const hasUnlimited = fleet.hasReady(
       service,
-      server => isOpen(server) && !limits.isLimited(server.id),
+      server => isCandidate(server) && !limits.isLimited(server.id),
     );
-    if (hasFree) {
-      // Of many servers few are limited: the others need not be looked at.
+    if (hasUnlimited) {
+      // Few of many servers are limited, so the others are not checked.
       return limits
         .listUsedUp()
         .filter(id => fleet.get(id)?.service === service);
     }
-    const servers = fleet.listServers(service).filter(isOpen);
+    const servers = fleet.listServers(service).filter(isCandidate);
     const names = servers.map(({id}) => id);
     return limits.listWithheld(service, names, rankUrgency(request));
   }
 
-  /** The first token may take this long at no loss, with room for surprises. */
+  /**
+   * Returns the time that the first token may still take without loss, in milliseconds.
+   * It is less than the rest of the target, as a margin for unexpected delays.
+   */
   private getSlackMs(): number {
-    const {route, arrivedMs} = this.order.request;
-    const agoMs = this.options.clock.monotonicMs() - arrivedMs;
-    return route.targetMs * SLACK_SHARE - agoMs;
+    const {route, arrivedMs} = this.params.request;
+    const elapsedMs = this.options.clock.monotonicMs() - arrivedMs;
+    return route.targetMs * SLACK_SHARE - elapsedMs;
   }
 }
 
-/** Narrows what a request may go to by the servers that are withheld from it. */
-function narrow(
+/** Adds the servers excluded by rate limits to the condition for a server. */
+function excludeServers(
   allows: AllowsServer | undefined,
   withheld: readonly string[],
 ): AllowsServer | undefined {
--- a/src/relay_host/bind_relay_host.ts
+++ b/src/relay_host/bind_relay_host.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a relaying entry host together, by inversify. */
+/** Assembles an entry host that relays requests, by inversify. */
 import {Container} from 'inversify';
 import {CatalogStore} from '../catalog/index.js';
 import {bind} from '../container/index.js';
@@ -24,7 +24,7 @@
   RANDOM,
 } from './identifiers.js';
 
-/** Binds every part that does not depend on the platform. */
+/** Binds every component that does not depend on the platform. */
 export function bindRelayHost(container: Container): void {
   bindKnowledge(container);
   bindDuties(container);
@@ -44,8 +44,8 @@
         quota: context.get(Quota),
         limits: context.get(ServerLimits),
         quarantine: context.get(Quarantine),
-        budget: context.get(SharedRetryBudget),
-        ledger: context.get(UsageLedger),
+        retryBudget: context.get(SharedRetryBudget),
+        usageLedger: context.get(UsageLedger),
         exchange: context.get(EXCHANGE),
         copyRun: context.get(COPY_RUN),
         endedServers: new EndedServers(
@@ -53,7 +53,7 @@
           context.get(LOOK_FOR_END),
         ),
         senderRuns: new SenderRuns(context.get(CLOCK)),
-        versionGate: context.get(VersionGate),
+        versionSelector: context.get(VersionGate),
         versionLedger: context.get(VersionLedger),
       }),
   );
--- a/test/relay/limited_servers_test.ts
+++ b/test/relay/limited_servers_test.ts
@@ -14,9 +14,9 @@
   RelayFixture,
 } from './relay_fixture.js';
 
-describe('Relay, before servers that limit what they take', () => {
+describe('Relay, with servers that state rate limits', () => {
   const route = {repeat: Repeat.ANY, maxAttempts: 3};
-  const none = Result.ok<Maybe<number>, string>(Maybe.nothing());
+  const noLimit = Result.ok<Maybe<number>, string>(Maybe.nothing());
 
   function createFixture(
     exchange: Exchange,
@@ -29,7 +29,7 @@
     return fixture;
   }
 
-  it('are passed over while their limits are used up', async () => {
+  it('does not choose servers whose limits are used up', async () => {
     const fixture = createFixture(answer, 's1', 's3');
     for (let count = 0; count < 12; count++) {
       expect((await fixture.serve(route)).body).to.equal('whole');
@@ -37,20 +37,20 @@
     expect(new Set(fixture.listServers())).to.deep.equal(new Set(['s2']));
   });
 
-  it('of another service keep nothing from this one’s', async () => {
+  it('is not affected by limits of servers of another service', async () => {
     const fixture = createFixture(answer, 's1', 'x1');
     fixture.fleet.set({...createServer('x1'), service: 'other'}, 'test');
     await fixture.serve(route);
     expect(['s2', 's3']).to.include(fixture.listServers()[0]);
   });
 
-  it('are passed over by second attempts, too', async () => {
+  it('does not choose such servers for second attempts either', async () => {
     const fixture = createFixture(lose, 's1', 's3');
     await fixture.serve(route);
     expect(fixture.listServers()).to.deep.equal(['s2']);
   });
 
-  it('have a request refused at once, unsent, where there are no others', async () => {
+  it('refuses a request at once, without sending it, if the limits of all servers are used up', async () => {
     const fixture = createFixture(answer, 's1', 's2', 's3');
     const {problem} = await fixture.serve(route);
     expect(fixture.sent).to.deep.equal([]);
@@ -60,20 +60,20 @@
     expect(problem?.retryAfterSeconds).to.be.within(0.01, 13);
   });
 
-  it('leave a caller the failure of the one that was asked', async () => {
+  it('relays the error of the server that was tried if the limits of all others are used up', async () => {
     const fixture = createFixture(fail, 's1', 's3');
     expect((await fixture.serve(route)).status).to.equal(500);
   });
 
-  it('are known by answers, streams and rejections', async () => {
+  it('learns limits from answers, streams and rejections', async () => {
     const limit = Result.ok<Maybe<number>, string>(Maybe.just(3));
-    const stated: Exchange[] = [
+    const exchanges: Exchange[] = [
       async () => ({...createAnswer(200, ['whole']), limit}),
       async () => ({...createAnswer(200, formatEvents(1, 3)), limit}),
       async () => ({...createAnswer(500, ['failed']), limit}),
-      async (...order) => ({...(await refuse(...order)), limit}),
+      async (...params) => ({...(await refuse(...params)), limit}),
     ];
-    for (const [index, exchange] of stated.entries()) {
+    for (const [index, exchange] of exchanges.entries()) {
       const fixture = createFixture(exchange);
       await fixture.serve({streaming: index === 1, maxAttempts: 1});
       const [server = ''] = fixture.listServers();
@@ -81,9 +81,9 @@
     }
   });
 
-  it('are chosen again once an answer names no limit', async () => {
+  it('chooses servers again once an answer states no limit', async () => {
     const fixture = createFixture(
-      async () => ({...createAnswer(200, ['whole']), limit: none}),
+      async () => ({...createAnswer(200, ['whole']), limit: noLimit}),
       's1',
       's2',
       's3',
--- a/test/relay/relay_fixture.ts
+++ b/test/relay/relay_fixture.ts
@@ -29,12 +29,12 @@
 import {UsageLedger} from '../../src/usage/index.js';
 import {createRoute} from './route_fixture.js';
 
-/** An answer as its caller got it. */
+/** Collects an answer as its caller receives it. */
 export class CollectedAnswer implements AnswerSink {
   status = 0;
   body = '';
   ended = false;
-  broken = false;
+  aborted = false;
   problem: Problem | undefined;
 
   begin(status: number): void {
@@ -50,7 +50,7 @@
   }
 
   breakOff(): void {
-    this.broken = true;
+    this.aborted = true;
   }
 
   refuse(problem: Problem): void {
@@ -58,7 +58,7 @@
   }
 }
 
-/** Makes an answer whose body is given piece by piece. */
+/** Creates an answer whose body consists of the given chunks. */
 export function createAnswer(
   status: number,
   pieces: Iterable<string> | AsyncIterable<string>,
@@ -71,23 +71,23 @@
   return {kind: ExchangeKind.ANSWERED, status, headers: [], body: read()};
 }
 
-/** Loses the request: it may have run. */
+/** Loses the request, which may have run. */
 export const lose: Exchange = async () => ({
   kind: ExchangeKind.LOST,
-  detail: 'cut',
+  detail: 'connection lost',
 });
-/** Says that there is no room: it did not run. */
+/** Rejects the request for lack of capacity; it did not run. */
 export const refuse: Exchange = async () => ({
   kind: ExchangeKind.NOT_RUN,
   detail: 'status 503',
   full: true,
 });
-/** Answers whole. */
+/** Answers completely. */
 export const answer: Exchange = async () => createAnswer(200, ['whole']);
-/** Answers with the server's own failure. */
+/** Answers with an error status. */
 export const fail: Exchange = async () => createAnswer(500, ['failed']);
 
-/** Writes events with ids from one number up to another. */
+/** Formats events with ids from one number up to another. */
 export function formatEvents(from: number, to: number): string[] {
   const events: string[] = [];
   for (let id = from; id <= to; id++) {
@@ -98,7 +98,7 @@
 
 const SERVICE = 'desk';
 
-/** A relay before a few servers whose answers a test gives. */
+/** A relay with a few servers whose answers the test provides. */
 export class RelayFixture {
   readonly clock = new SystemClock();
   readonly fleet: Fleet;
@@ -109,11 +109,11 @@
   readonly sent: ExchangeOrder[] = [];
   readonly copies: CopyOrder[] = [];
   budget = 100;
-  /** Servers that have ended. */
-  readonly ended = new Set<string>();
+  /** Ids of servers that have terminated. */
+  readonly terminated = new Set<string>();
   copyResult: Result<string, CopyFailure> = Result.ok('h1');
   /** Called for each requested copy, before its result is returned. */
-  onCopy: (order: CopyOrder) => void = () => undefined;
+  onCopy: (params: CopyOrder) => void = () => undefined;
 
   constructor(exchange: Exchange) {
     const log = new SilentLog();
@@ -154,27 +154,27 @@
       }),
       limits: this.limits,
       quarantine: this.quarantine,
-      budget: new SharedRetryBudget(clock, () => ({
+      retryBudget: new SharedRetryBudget(clock, () => ({
         ratio: 0,
         windowMs: 10_000,
         slack: this.budget,
         hosts: 1,
       })),
-      ledger: new UsageLedger(5000, () => clock.now().getTime()),
-      exchange: (order, signal) => {
-        this.sent.push(order);
-        return exchange(order, signal);
+      usageLedger: new UsageLedger(5000, () => clock.now().getTime()),
+      exchange: (params, signal) => {
+        this.sent.push(params);
+        return exchange(params, signal);
       },
-      copyRun: async order => {
-        this.copies.push(order);
-        this.onCopy(order);
+      copyRun: async params => {
+        this.copies.push(params);
+        this.onCopy(params);
         return this.copyResult;
       },
       endedServers: new EndedServers(clock, async address =>
-        this.ended.has(address.split(':')[0] ?? ''),
+        this.terminated.has(address.split(':')[0] ?? ''),
       ),
       senderRuns: new SenderRuns(clock),
-      versionGate: {draw: () => undefined},
+      versionSelector: {draw: () => undefined},
       versionLedger: new VersionLedger(),
     });
     for (const id of ['s1', 's2', 's3']) {
@@ -182,27 +182,27 @@
     }
   }
 
-  /** Returns the servers that got the request, in order. */
+  /** Returns the ids of the servers that the request was sent to, in params. */
   listServers(): string[] {
-    return this.sent.map(order => order.server.id);
+    return this.sent.map(params => params.server.id);
   }
 
-  /** Serves a request to its end. */
+  /** Serves a request; resolves when it has ended. */
   async serve(
     overrides: Partial<Route>,
-    waitMs = 2000,
-    left: AbortSignal = new AbortController().signal,
+    timeoutMs = 2000,
+    disconnected: AbortSignal = new AbortController().signal,
     prompt: RelayRequest['prompt'] = {parts: [], tokensIn: 0, tokensOut: 0},
   ): Promise<CollectedAnswer> {
     const sink = new CollectedAnswer();
-    const request = {...this.createRequest(overrides, waitMs), prompt};
-    await this.relay.serve(request, sink, left);
+    const request = {...this.createRequest(overrides, timeoutMs), prompt};
+    await this.relay.serve(request, sink, disconnected);
     return sink;
   }
 
   private createRequest(
     overrides: Partial<Route>,
-    waitMs: number,
+    timeoutMs: number,
   ): RelayRequest {
     const nowMs = this.clock.monotonicMs();
     return {
@@ -217,12 +217,12 @@
       }),
       prompt: {parts: [], tokensIn: 0, tokensOut: 0},
       arrivedMs: nowMs,
-      deadlineMs: nowMs + waitMs,
+      deadlineMs: nowMs + timeoutMs,
     };
   }
 }
 
-/** Makes a server of the fixture's service. */
+/** Creates a server of the fixture's service. */
 export function createServer(
   id: string,
   state: FleetState = FleetState.READY,
--- a/test/relay/relay_property_test.ts
+++ b/test/relay/relay_property_test.ts
@@ -11,29 +11,29 @@
 
 const SEED = 20261202;
 const RUNS = 300;
-/** Events of a whole stream. */
+/** Events of a complete stream. */
 const EVENTS = 6;
 
-/** What a server does with one sending. */
-type Conduct =
+/** How a server handles one exchange. */
+type Behaviour =
   | {readonly kind: 'whole'}
   | {readonly kind: 'lost'}
   | {readonly kind: 'not-run'}
   | {readonly kind: 'status'; readonly status: number}
   | {
-      /** Breaks off after some events, in the middle of the next or not. */
+      /** Closes the connection after some events, optionally within the next one. */
       readonly kind: 'cut';
       readonly after: number;
       readonly midEvent: boolean;
     };
 
-const conduct: fc.Arbitrary<Conduct> = fc.oneof(
-  fc.constant<Conduct>({kind: 'whole'}),
-  fc.constant<Conduct>({kind: 'lost'}),
-  fc.constant<Conduct>({kind: 'not-run'}),
+const behaviour: fc.Arbitrary<Behaviour> = fc.oneof(
+  fc.constant<Behaviour>({kind: 'whole'}),
+  fc.constant<Behaviour>({kind: 'lost'}),
+  fc.constant<Behaviour>({kind: 'not-run'}),
   fc
     .constantFrom(404, 500, 503)
-    .map((status): Conduct => ({kind: 'status', status})),
+    .map((status): Behaviour => ({kind: 'status', status})),
   fc.record({
     kind: fc.constant<'cut'>('cut'),
     after: fc.integer({min: 0, max: EVENTS - 1}),
@@ -41,49 +41,49 @@
   }),
 );
 
-/** One history: a kind of request, and what servers do in turn. */
-interface History {
+/** A kind of request, and how servers handle its exchanges in turn. */
+interface Scenario {
   readonly repeat: Repeat;
   readonly streaming: boolean;
   readonly maxAttempts: number;
   readonly budget: number;
-  readonly conducts: readonly Conduct[];
+  readonly behaviours: readonly Behaviour[];
 }
 
-const history: fc.Arbitrary<History> = fc.record({
+const scenario: fc.Arbitrary<Scenario> = fc.record({
   repeat: fc.constantFrom(...Object.values(Repeat)),
   streaming: fc.boolean(),
   maxAttempts: fc.integer({min: 1, max: 3}),
   budget: fc.constantFrom(0, 1, 100),
-  conducts: fc.array(conduct, {minLength: 8, maxLength: 8}),
+  behaviours: fc.array(behaviour, {minLength: 8, maxLength: 8}),
 });
 
-/** Performs conducts in turn, going on after the last event that was sent. */
-function perform(conducts: readonly Conduct[]): Exchange {
+/** Behaves as given in turn; streams continue after the last event that was relayed. */
+function createExchange(behaviours: readonly Behaviour[]): Exchange {
   let turn = 0;
-  return async order => {
-    const now = conducts[turn++] ?? {kind: 'lost'};
-    const first = Number(order.lastEventId ?? 0) + 1;
-    const streaming = order.request.route.streaming;
-    switch (now.kind) {
+  return async params => {
+    const current = behaviours[turn++] ?? {kind: 'lost'};
+    const first = Number(params.lastEventId ?? 0) + 1;
+    const streaming = params.request.route.streaming;
+    switch (current.kind) {
       case 'lost':
-        return {kind: ExchangeKind.LOST, detail: 'cut'};
+        return {kind: ExchangeKind.LOST, detail: 'connection lost'};
       case 'not-run':
         return {kind: ExchangeKind.NOT_RUN, detail: 'status 503', full: true};
       case 'status':
-        return createAnswer(now.status, ['failed']);
+        return createAnswer(current.status, ['failed']);
       case 'whole':
         return createAnswer(
           200,
           streaming ? formatEvents(first, EVENTS) : ['whole'],
         );
       case 'cut':
-        return createAnswer(200, breakOff(now, first, streaming));
+        return createAnswer(200, disconnect(current, first, streaming));
     }
   };
 }
 
-function* breakOff(
+function* disconnect(
   {after, midEvent}: {readonly after: number; readonly midEvent: boolean},
   first: number,
   streaming: boolean,
@@ -97,51 +97,52 @@
   throw new Error('reset');
 }
 
-/** Counts the sendings that may have run, of those that were made. */
-function countRuns(conducts: readonly Conduct[], sent: number): number {
-  return conducts.slice(0, sent).filter(({kind}) => kind !== 'not-run').length;
+/** Counts the exchanges in which the request may have run, of those that were made. */
+function countRuns(behaviours: readonly Behaviour[], sent: number): number {
+  return behaviours.slice(0, sent).filter(({kind}) => kind !== 'not-run')
+    .length;
 }
 
-describe('Relay, by generated histories', () => {
-  function doTest(
-    check: (made: History, sink: CollectedAnswer, sent: number) => void,
+describe('Relay, with generated behaviour of servers', () => {
+  function checkScenarios(
+    check: (generated: Scenario, sink: CollectedAnswer, sent: number) => void,
   ): Promise<void> {
     return fc.assert(
-      fc.asyncProperty(history, async made => {
-        const {repeat, streaming, maxAttempts, budget, conducts} = made;
-        const fixture = new RelayFixture(perform(conducts));
-        // Eight tenths of the slack are spent.
+      fc.asyncProperty(scenario, async generated => {
+        const {repeat, streaming, maxAttempts, budget, behaviours} = generated;
+        const fixture = new RelayFixture(createExchange(behaviours));
+        // The relay uses only 80 % of the slack.
         fixture.budget = budget / 0.8;
         const sink = await fixture.serve({repeat, streaming, maxAttempts});
-        check(made, sink, fixture.sent.length);
+        check(generated, sink, fixture.sent.length);
       }),
       {seed: SEED, numRuns: RUNS},
     );
   }
 
   it('runs what may run once at most once', () =>
-    doTest(({repeat, conducts}, _sink, sent) => {
+    checkScenarios(({repeat, behaviours}, _sink, sent) => {
       if (repeat === Repeat.ONCE) {
-        expect(countRuns(conducts, sent)).to.be.at.most(1);
+        expect(countRuns(behaviours, sent)).to.be.at.most(1);
       }
     }));
 
-  it('keeps to the servers allowed and to the retry budget', () =>
-    doTest(({maxAttempts, budget, conducts}, _sink, sent) => {
-      expect(countRuns(conducts, sent)).to.be.at.most(maxAttempts);
+  it('observes the limit of attempts and the retry budget', () =>
+    checkScenarios(({maxAttempts, budget, behaviours}, _sink, sent) => {
+      expect(countRuns(behaviours, sent)).to.be.at.most(maxAttempts);
       expect(sent - 1).to.be.at.most(budget);
     }));
 
-  it('says that a request did not run only when none may have run it', () =>
-    doTest(({conducts}, sink, sent) => {
+  it('reports that a request did not run only if no server may have run it', () =>
+    checkScenarios(({behaviours}, sink, sent) => {
       const status = sink.problem?.status ?? 0;
       if (status === 503 || status === 429) {
-        expect(countRuns(conducts, sent)).to.equal(0);
+        expect(countRuns(behaviours, sent)).to.equal(0);
       }
     }));
 
-  it('brings every event once and in order, and ends only whole streams', () =>
-    doTest(({streaming}, sink) => {
+  it('relays every event once and in params, and ends only complete streams', () =>
+    checkScenarios(({streaming}, sink) => {
       if (!streaming || sink.status !== 200) {
         return;
       }
@@ -152,11 +153,13 @@
       }
     }));
 
-  it('ends every request one way: an answer, a refusal, or broken off', () =>
-    doTest((_made, sink) => {
-      const ends = [sink.ended, sink.broken, sink.problem !== undefined].filter(
-        Boolean,
-      );
-      expect(ends).to.have.length(1);
+  it('ends every request in exactly one way: answered, refused or broken off', () =>
+    checkScenarios((_generated, sink) => {
+      const outcomes = [
+        sink.ended,
+        sink.aborted,
+        sink.problem !== undefined,
+      ].filter(Boolean);
+      expect(outcomes).to.have.length(1);
     }));
 });
--- a/test/relay/relay_test.ts
+++ b/test/relay/relay_test.ts
@@ -14,15 +14,16 @@
   RelayFixture,
 } from './relay_fixture.js';
 
-/** Gives one answer after the other, the last again and again. */
+/** Uses one exchange after the other; repeats the last one. */
 function answerInTurn(...exchanges: Exchange[]): Exchange {
   let turn = 0;
-  return (order, signal) => {
+  return (params, signal) => {
     const exchange = exchanges[Math.min(turn++, exchanges.length - 1)];
-    return exchange?.(order, signal) ?? lose(order, signal);
+    return exchange?.(params, signal) ?? lose(params, signal);
   };
 }
 
+/** Does not respond until the exchange is aborted. */
 const hang: Exchange = (_order, signal) =>
   new Promise(resolve => {
     signal.addEventListener('abort', () =>
@@ -30,8 +31,8 @@
     );
   });
 
-/** Sends events, then breaks off. */
-function breakAfter(from: number, to: number): Exchange {
+/** Sends events, then breaks off within the next one. */
+function disconnectAfter(from: number, to: number): Exchange {
   return async () =>
     createAnswer(
       200,
@@ -63,7 +64,7 @@
   });
 
   describe('a stream', () => {
-    it('tells of its server’s delay by its first event, not by later ones', async () => {
+    it('contributes to the measured delay of its server by its first event only', async () => {
       const slow = createAnswer(
         200,
         (async function* () {
@@ -80,16 +81,19 @@
     });
   });
 
-  describe('a request under which servers end', () => {
+  describe('a request during which servers terminate', () => {
     const route = {repeat: Repeat.ANY, maxAttempts: 2};
     const SERVERS = ['s1', 's2', 's3', 's4', 's5', 's6', 's7', 's8'];
 
-    function createFixture(exchange: Exchange, ends: boolean): RelayFixture {
-      const fixture = new RelayFixture((order, signal) => {
-        if (ends) {
-          fixture.ended.add(order.server.id);
+    function createFixture(
+      exchange: Exchange,
+      terminates: boolean,
+    ): RelayFixture {
+      const fixture = new RelayFixture((params, signal) => {
+        if (terminates) {
+          fixture.terminated.add(params.server.id);
         }
-        return exchange(order, signal);
+        return exchange(params, signal);
       });
       for (const id of SERVERS) {
         fixture.fleet.set(createServer(id), 'test');
@@ -103,7 +107,7 @@
       }
     }
 
-    it('is refused unsent once three have ended', async () => {
+    it('is refused without being sent once three have terminated', async () => {
       const fixture = createFixture(lose, true);
       await serveOften(fixture);
       expect(new Set(fixture.listServers()).size).to.equal(3);
@@ -115,24 +119,24 @@
       expect(sink.problem?.retryAfterSeconds).to.be.within(599, 600);
     });
 
-    it('is not suspected where the servers are still there', async () => {
+    it('is not suspected if the servers are still running', async () => {
       const fixture = createFixture(lose, false);
       await serveOften(fixture);
       expect(fixture.quarantine.hasSuspects()).to.equal(false);
     });
 
-    it('is not suspected where an answer was spoiled', async () => {
-      const spoil: Exchange = async () => ({
+    it('is not suspected if an answer was corrupted', async () => {
+      const corrupt: Exchange = async () => ({
         kind: ExchangeKind.LOST,
         detail: 'answer of another request',
         spoiled: true,
       });
-      const fixture = createFixture(spoil, true);
+      const fixture = createFixture(corrupt, true);
       await serveOften(fixture);
       expect(fixture.quarantine.hasSuspects()).to.equal(false);
     });
 
-    it('is not suspected where its caller left', async () => {
+    it('is not suspected if its caller disconnected', async () => {
       const fixture = createFixture(hang, true);
       await fixture.serve(route, 2000, AbortSignal.timeout(20));
       expect(fixture.quarantine.hasSuspects()).to.equal(false);
@@ -148,22 +152,22 @@
     });
   });
 
-  describe('more streams than are computed', () => {
+  describe('queued prompts at all servers', () => {
     const prompt = (tokens: number) => ({
       parts: [{id: 'own', tokens}],
       tokensIn: tokens,
       tokensOut: 10,
     });
 
-    function press(fixture: RelayFixture): void {
+    function saturate(fixture: RelayFixture): void {
       for (const server of ['s1', 's2', 's3']) {
         fixture.fleet.startFlight(server, prompt(90_000).parts, 0, 1);
       }
     }
 
-    it('are refused at once, unsent, with a time to come back', async () => {
+    it('have a stream refused at once, without being sent, with a retry delay', async () => {
       const fixture = new RelayFixture(answer);
-      press(fixture);
+      saturate(fixture);
       const route = {streaming: true, targetMs: 300, urgency: 1};
       const sink = await fixture.serve(route, 2000, undefined, prompt(100));
       expect(fixture.sent).to.have.length(0);
@@ -172,21 +176,21 @@
       expect(sink.problem?.retryAfterSeconds).to.be.within(0.6, 1.2);
     });
 
-    it('do not keep out a more urgent one', async () => {
+    it('do not have a more urgent stream refused', async () => {
       const fixture = new RelayFixture(async () =>
         createAnswer(200, formatEvents(1, 2)),
       );
-      press(fixture);
+      saturate(fixture);
       const route = {streaming: true, targetMs: 300, urgency: 0};
       const sink = await fixture.serve(route, 2000, undefined, prompt(100));
       expect(sink.ended).to.equal(true);
     });
 
-    it('do not keep out one whose target leaves time', async () => {
+    it('do not have a stream refused whose target allows the wait', async () => {
       const fixture = new RelayFixture(async () =>
         createAnswer(200, formatEvents(1, 2)),
       );
-      press(fixture);
+      saturate(fixture);
       const route = {streaming: true, targetMs: 1000, urgency: 1};
       const sink = await fixture.serve(route, 2000, undefined, prompt(100));
       expect(sink.ended).to.equal(true);
@@ -194,7 +198,7 @@
   });
 
   describe('a stream that may be resumed', () => {
-    it('begins anew elsewhere when a server fails before its first event', async () => {
+    it('starts over at another server if one fails before its first event', async () => {
       const stream: Exchange = async () =>
         createAnswer(200, formatEvents(1, 2));
       const fixture = new RelayFixture(answerInTurn(fail, stream));
@@ -207,7 +211,7 @@
       expect(sink.body).to.equal(formatEvents(1, 2).join(''));
     });
 
-    it('gets the failure when no other server may be asked', async () => {
+    it('gets the error if no other server may be tried', async () => {
       const fixture = new RelayFixture(fail);
       const sink = await fixture.serve({
         repeat: Repeat.RESUME,
@@ -219,30 +223,30 @@
     });
   });
 
-  describe('a server that starts again under its name', () => {
-    function startAgain(fixture: RelayFixture): void {
+  describe('a server that restarts under the same name', () => {
+    function restart(fixture: RelayFixture): void {
       const before = fixture.sent[0]?.server.name ?? '';
       const server = createServer(before);
       const id = createStartId(before, 7);
       fixture.fleet.set({...server, id, startedMs: 7}, 'test');
     }
 
-    it('ends what may run once, which is not sent again', async () => {
+    it('loses a request that may run once, which is not sent again', async () => {
       const fixture = new RelayFixture(answerInTurn(hang, answer));
       const served = fixture.serve({repeat: Repeat.ONCE});
       await new Promise(setImmediate);
-      startAgain(fixture);
+      restart(fixture);
       const sink = await served;
       expect(sink.problem?.status).to.equal(502);
       expect(sink.problem?.ran).to.equal(Ran.UNKNOWN);
       expect(fixture.sent).to.have.length(1);
     });
 
-    it('has what may run again sent on at once', async () => {
+    it('loses a request that may run again, which is sent to another server at once', async () => {
       const fixture = new RelayFixture(answerInTurn(hang, answer));
       const served = fixture.serve({repeat: Repeat.ANY, maxAttempts: 2});
       await new Promise(setImmediate);
-      startAgain(fixture);
+      restart(fixture);
       expect((await served).body).to.equal('whole');
       expect(fixture.sent).to.have.length(2);
     });
@@ -257,14 +261,14 @@
       expect(sink.problem?.ran).to.equal(Ran.UNKNOWN);
     });
 
-    it('is sent to another server that says it did not run', async () => {
+    it('is sent to another server if one reports that it did not run', async () => {
       const fixture = new RelayFixture(answerInTurn(refuse, answer));
       const sink = await fixture.serve({repeat: Repeat.ONCE, maxAttempts: 1});
       expect(sink.body).to.equal('whole');
       expect(new Set(fixture.listServers()).size).to.equal(2);
     });
 
-    it('is refused with a time to come back when none takes it', async () => {
+    it('is refused with a retry delay if no server accepts it', async () => {
       const fixture = new RelayFixture(refuse);
       const sink = await fixture.serve({repeat: Repeat.ONCE});
       expect(sink.problem?.status).to.equal(503);
@@ -272,7 +276,7 @@
       expect(sink.problem?.retryAfterSeconds).to.be.greaterThan(0);
     });
 
-    it('is never said not to have run once one attempt was lost', async () => {
+    it('is never reported as not run once one attempt was lost', async () => {
       const fixture = new RelayFixture(answerInTurn(refuse, lose, refuse));
       const sink = await fixture.serve({repeat: Repeat.ONCE, maxAttempts: 3});
       expect(sink.problem?.status).to.equal(502);
@@ -286,7 +290,7 @@
       expect(sink.body).to.equal('whole');
     });
 
-    it('never gets an answer that is joined from two servers', async () => {
+    it('never gets an answer composed of the answers of two servers', async () => {
       const large = 'x'.repeat(100_000);
       const fixture = new RelayFixture(
         answerInTurn(
@@ -303,11 +307,11 @@
       );
       const sink = await fixture.serve({repeat: Repeat.ANY});
       expect(sink.ended).to.equal(false);
-      expect(sink.broken).to.equal(true);
+      expect(sink.aborted).to.equal(true);
       expect(sink.body).to.equal(large);
     });
 
-    it('gets the answer of another server when a short one breaks off', async () => {
+    it('gets the answer of another server if a short one breaks off', async () => {
       const fixture = new RelayFixture(
         answerInTurn(
           async () =>
@@ -326,7 +330,7 @@
       expect(sink.ended).to.equal(true);
     });
 
-    it("gets a server's own failure when no attempt does better", async () => {
+    it('gets the error of a server if no attempt succeeds', async () => {
       const fixture = new RelayFixture(fail);
       const sink = await fixture.serve({repeat: Repeat.ANY});
       expect(fixture.sent).to.have.length(2);
@@ -334,7 +338,7 @@
       expect(sink.body).to.equal('failed');
     });
 
-    it('is not repeated when the budget is spent', async () => {
+    it('is not repeated if the retry budget is exhausted', async () => {
       const fixture = new RelayFixture(answerInTurn(lose, answer));
       fixture.budget = 0;
       const sink = await fixture.serve({repeat: Repeat.ANY});
@@ -343,8 +347,8 @@
     });
   });
 
-  describe('the deadline', () => {
-    it('brings the final answer at that moment', async () => {
+  describe('cancellation', () => {
+    it('ends the request at the deadline', async () => {
       const fixture = new RelayFixture(hang);
       const startMs = fixture.clock.monotonicMs();
       const sink = await fixture.serve({repeat: Repeat.ANY}, 120);
@@ -352,23 +356,23 @@
       expect(fixture.clock.monotonicMs() - startMs).to.be.lessThan(1000);
     });
 
-    it('cancels the work of a caller that leaves', async () => {
-      const left = new AbortController();
-      const fixture = new RelayFixture((order, signal) => {
-        setImmediate(() => left.abort());
-        return hang(order, signal);
+    it('ends the request when its caller disconnects', async () => {
+      const disconnected = new AbortController();
+      const fixture = new RelayFixture((params, signal) => {
+        setImmediate(() => disconnected.abort());
+        return hang(params, signal);
       });
-      const sink = await fixture.serve({}, 5000, left.signal);
-      expect(sink.broken).to.equal(true);
+      const sink = await fixture.serve({}, 5000, disconnected.signal);
+      expect(sink.aborted).to.equal(true);
     });
   });
 
   describe('a stream', () => {
     const streaming = {streaming: true, repeat: Repeat.RESUME};
 
-    it('goes on at another server after the last whole event', async () => {
+    it('continues at another server after the last complete event', async () => {
       const fixture = new RelayFixture(
-        answerInTurn(breakAfter(1, 3), async () =>
+        answerInTurn(disconnectAfter(1, 3), async () =>
           createAnswer(200, formatEvents(4, 6)),
         ),
       );
@@ -378,10 +382,10 @@
       expect(fixture.sent[1]?.lastEventId).to.equal('3');
     });
 
-    it('is broken off, not ended, when it may not go on', async () => {
-      const fixture = new RelayFixture(breakAfter(1, 3));
+    it('is broken off, not ended, if it may not continue', async () => {
+      const fixture = new RelayFixture(disconnectAfter(1, 3));
       const sink = await fixture.serve({...streaming, repeat: Repeat.ONCE});
-      expect(sink.broken).to.equal(true);
+      expect(sink.aborted).to.equal(true);
       expect(sink.ended).to.equal(false);
       expect(sink.body).to.equal(formatEvents(1, 3).join(''));
     });
@@ -390,24 +394,24 @@
   describe('a stream whose server leaves', () => {
     const streaming = {streaming: true, repeat: Repeat.ONCE, maxAttempts: 1};
 
-    /** Runs until its server is told to leave and its memory was copied. */
+    /** Runs until its server is draining and its memory was copied. */
     function runUntilCopied(getFixture: () => RelayFixture): Exchange {
-      return async order => {
+      return async params => {
         async function* read(): AsyncGenerator<string> {
           yield* formatEvents(1, 2);
           const fixture = getFixture();
-          const leaving = createServer(order.server.id, FleetState.DRAINING);
+          const leaving = createServer(params.server.id, FleetState.DRAINING);
           fixture.fleet.set({...leaving, leavesMs: 1000}, 'test');
           while (fixture.copies.every(copy => !copy.stops)) {
             await new Promise(resolve => setImmediate(resolve));
           }
-          throw new Error('closed without its end');
+          throw new Error('connection closed before the end of the stream');
         }
         return createAnswer(200, read());
       };
     }
 
-    it('goes on from the copy of its memory', async () => {
+    it('continues from the copy of its memory', async () => {
       const fixture: RelayFixture = new RelayFixture(
         answerInTurn(
           runUntilCopied(() => fixture),
@@ -443,19 +447,19 @@
       };
       const sink = await fixture.serve(streaming);
       expect(sink.body).to.equal(formatEvents(1, 4).join(''));
-      const [left, ahead, last] = fixture.copies;
-      expect(ahead?.to.id).not.to.equal(left?.to.id);
-      expect(last).to.deep.include({to: ahead?.to, stops: true});
-      expect(fixture.sent[1]?.server.id).to.equal(ahead?.to.id);
+      const [abandoned, preCopy, finalCopy] = fixture.copies;
+      expect(preCopy?.to.id).not.to.equal(abandoned?.to.id);
+      expect(finalCopy).to.deep.include({to: preCopy?.to, stops: true});
+      expect(fixture.sent[1]?.server.id).to.equal(preCopy?.to.id);
     });
 
-    it('is checked again before the first byte is sent', async () => {
+    it('has the state of its server checked again before the first byte is sent', async () => {
       const states: boolean[] = [];
-      const fixture: RelayFixture = new RelayFixture(async order => {
-        states.push(order.maySend());
-        const {id} = order.server;
+      const fixture: RelayFixture = new RelayFixture(async params => {
+        states.push(params.maySend());
+        const {id} = params.server;
         fixture.fleet.set(createServer(id, FleetState.DRAINING), 'test');
-        states.push(order.maySend());
+        states.push(params.maySend());
         return createAnswer(200, []);
       });
       await fixture.serve({});
--- a/test/relay/route_fixture.ts
+++ b/test/relay/route_fixture.ts
@@ -1,6 +1,6 @@
 import {Repeat, Route} from '../../src/catalog/index.js';
 
-/** Makes a route of plain requests that may run once. */
+/** Creates a route of plain requests that may run once. */
 export function createRoute(overrides: Partial<Route> = {}): Route {
   return {
     name: 'r',
