--- a/src/relay_host/bind_knowledge.ts
+++ b/src/relay_host/bind_cluster_state.ts
@@ -13,13 +13,19 @@
 import {CLOCK, GET_SETTINGS, LOG, RANDOM, SELF} from './identifiers.js';
 import {REPLICA} from './replica_names.js';
 
-/** Age at which a peer's loads count no longer, in milliseconds. */
+/** Age from which the loads that a peer reported no longer count, in milliseconds. */
 const STALE_MS = 2000;
-/** Silence after which a host is taken to be gone for good, in milliseconds. */
-const GONE_MS = 30_000;
+/**
+ * Time without contact after which a host is assumed to be gone permanently, in
+ * milliseconds.
+ */
+const EXPIRY_MS = 30_000;
 
-/** Binds what a host knows: configuration, servers, other hosts, shares. */
-export function bindKnowledge(container: Container): void {
+/**
+ * Binds what a host knows of the system: configuration, servers, other hosts, quarantine,
+ * and its shares of quotas, rate limits and retry budgets.
+ */
+export function bindClusterState(container: Container): void {
   bind(container, Metrics, () => new Metrics());
   bind(container, HostState, () => new HostState());
   bind(container, CatalogStore, context => new CatalogStore(context.get(LOG)));
@@ -59,18 +65,18 @@
   );
   bind(container, Quota, context => {
     const reports = context.get(HostReports);
-    const known = context.get(KnownHosts);
+    const knownHosts = context.get(KnownHosts);
     return new Quota({
       clock: context.get(CLOCK),
       sumPeerDemand: customer => reports.sumDemand(customer),
       countTold: () => reports.countTold(),
-      countHosts: () => known.countHosts(),
-      countHeard: () => known.countAlive(),
+      countHosts: () => knownHosts.countHosts(),
+      countHeard: () => knownHosts.countAlive(),
       getBound: () => context.get(GET_SETTINGS)().quota,
     });
   });
   bind(container, SharedRetryBudget, context => {
-    const known = context.get(KnownHosts);
+    const knownHosts = context.get(KnownHosts);
     const getSettings = context.get(GET_SETTINGS);
     return new SharedRetryBudget(context.get(CLOCK), () => {
       const {retryRatio, retryWindowMs, retrySlack} = getSettings();
@@ -78,7 +84,7 @@
         ratio: retryRatio,
         windowMs: retryWindowMs,
         slack: retrySlack,
-        hosts: known.countHosts(),
+        hosts: knownHosts.countHosts(),
       };
     });
   });
@@ -94,7 +100,7 @@
         log: context.get(LOG),
         self: context.get(SELF),
         staleMs: STALE_MS,
-        goneMs: GONE_MS,
+        goneMs: EXPIRY_MS,
       }),
   );
   bind(
@@ -105,7 +111,7 @@
         clock: context.get(CLOCK),
         dataCentre: context.get(SELF).dataCentre,
         staleMs: STALE_MS,
-        goneMs: GONE_MS,
+        goneMs: EXPIRY_MS,
       }),
   );
   bind(
--- a/src/relay_host/bind_duties.ts
+++ b/src/relay_host/bind_duties.ts
@@ -12,7 +12,7 @@
   UsageLedger,
   UsageReporter,
 } from '../usage/index.js';
-import {createCompetes} from './create_competes.js';
+import {createShouldCompete} from './create_should_compete.js';
 import {createOrigin} from './create_origin.js';
 import {
   CLOCK,
@@ -24,21 +24,26 @@
   TABLE,
 } from './identifiers.js';
 
-/** Pause between looks at a lease that another host holds, as a share of it. */
-const WATCH_SHARE = 0.7;
 /**
- * Time for which a server has limited what it takes before another is ordered, in
- * milliseconds: a shorter need is over before that one serves.
+ * Interval between checks of a lease that another host holds, as a part of its duration.
  */
-const LASTING_MS = 5000;
-/** Renewals per duration of a lease. */
-const RENEWALS = 3;
+const POLL_SHARE = 0.7;
+/**
+ * Time for which a server must have stated a rate limit before another server is ordered
+ * because of it, in milliseconds: a shorter need would be over before that one serves.
+ */
+const MIN_LIMITED_MS = 5000;
+/** Renewals of a lease within its duration. */
+const RENEWALS_PER_LEASE = 3;
 
-/** Binds what one host at a time does for all: reports usage, orders servers. */
+/**
+ * Binds the duties, which one host at a time does for all: usage reports and server
+ * orders.
+ */
 export function bindDuties(container: Container): void {
   bindLease(container);
   bindUsage(container);
-  bindBuying(container);
+  bindProvisioning(container);
 }
 
 function bindLease(container: Container): void {
@@ -53,15 +58,15 @@
         holder: createOrigin(context),
         isOwnMachine: holder => holder.startsWith(`${host}/`),
         durationMs: leaseMs,
-        marginMs: leaseMs / RENEWALS,
+        marginMs: leaseMs / RENEWALS_PER_LEASE,
       }),
       clock: context.get(CLOCK),
       log: context.get(LOG),
-      renewMs: leaseMs / RENEWALS,
-      watchMs: leaseMs * WATCH_SHARE,
-      marginMs: leaseMs / RENEWALS,
+      renewMs: leaseMs / RENEWALS_PER_LEASE,
+      watchMs: leaseMs * POLL_SHARE,
+      marginMs: leaseMs / RENEWALS_PER_LEASE,
       quietMs: leaseMs,
-      competes: createCompetes(context),
+      competes: createShouldCompete(context),
     });
   });
 }
@@ -74,12 +79,12 @@
   );
   bind(container, HostUsage, () => new HostUsage());
   bind(container, UsageLedger, context => {
-    const trueTime = context.get(TrueTime);
+    const referenceTime = context.get(TrueTime);
     const {usageWindowMs} = context.get(GET_SETTINGS)();
-    return new UsageLedger(usageWindowMs, () => trueTime.getMs());
+    return new UsageLedger(usageWindowMs, () => referenceTime.getMs());
   });
   bind(container, UsageReporter, context => {
-    const trueTime = context.get(TrueTime);
+    const referenceTime = context.get(TrueTime);
     const {usageWindowMs, usageLateMs} = context.get(GET_SETTINGS)();
     return new UsageReporter({
       clock: context.get(CLOCK),
@@ -92,7 +97,7 @@
       ledger: context.get(UsageLedger),
       hostUsage: context.get(HostUsage),
       origin: createOrigin(context),
-      getTrueMs: () => trueTime.getMs(),
+      getTrueMs: () => referenceTime.getMs(),
       windowMs: usageWindowMs,
       lateMs: usageLateMs,
       send: context.get(SEND_USAGE),
@@ -100,7 +105,7 @@
   });
 }
 
-function bindBuying(container: Container): void {
+function bindProvisioning(container: Container): void {
   bind(container, Buyer, context => {
     const fleet = context.get(Fleet);
     const reports = context.get(HostReports);
@@ -126,7 +131,7 @@
   limits: ServerLimits,
 ): number {
   const servers = fleet.listServers(service).map(({id}) => id);
-  return limits.countLimitedFor(servers, LASTING_MS);
+  return limits.countLimitedFor(servers, MIN_LIMITED_MS);
 }
 
 function getWork(
@@ -134,12 +139,16 @@
   fleet: Fleet,
   reports: HostReports,
 ): Omit<ServiceWork, 'limited'> {
-  const picks = (server: string) => fleet.get(server)?.service === service;
-  let running = reports.sumRunning(picks);
+  const isOfService = (server: string) =>
+    fleet.get(server)?.service === service;
+  let running = reports.sumRunning(isOfService);
   for (const load of fleet.listOwnLoads()) {
-    running += picks(load.server) ? load.running : 0;
+    running += isOfService(load.server) ? load.running : 0;
   }
-  const own = fleet.listPrefill().find(work => work.customer === service);
-  const prefillPerSecond = (own?.perSecond ?? 0) + reports.sumPrefill(service);
+  const ownPrefill = fleet
+    .listPrefill()
+    .find(work => work.customer === service);
+  const prefillPerSecond =
+    (ownPrefill?.perSecond ?? 0) + reports.sumPrefill(service);
   return {prefillPerSecond, running};
 }
--- a/src/relay_host/bind_peering.ts
+++ b/src/relay_host/bind_peering.ts
@@ -32,15 +32,18 @@
 
 /** Pause between heartbeats to peers, in milliseconds. */
 const HEARTBEAT_MS = 400;
-/** Wait for a heartbeat's reply before a connection counts as silent. */
-const SILENCE_MS = 1200;
+/**
+ * Time to wait for the reply to a heartbeat until the peer counts as not responding, in
+ * milliseconds.
+ */
+const HEARTBEAT_TIMEOUT_MS = 1200;
 const MAX_FRAME_BYTES = 4_194_304;
 
-/** Binds the links to other hosts and what is said on them. */
+/** Binds the connections to other hosts and the messages exchanged on them. */
 export function bindPeering(container: Container): void {
   bind(container, PeerWords, context => {
     const state = context.get(HostState);
-    // The request comes again at once, and at any host.
+    // Send heartbeats at once: the same request is retried immediately, and at any host.
     context.get(Quarantine).addListener(() => container.get(Peers).hurry());
     context.get(ServerLimits).addListener(() => container.get(Peers).hurry());
     return new PeerWords({
@@ -76,7 +79,7 @@
 
 function createPeers(container: Container, context: ResolutionContext): Peers {
   const self = context.get(SELF);
-  const known = context.get(KnownHosts);
+  const knownHosts = context.get(KnownHosts);
   const {host, dataCentre} = self;
   const {seeds} = context.get(GET_SETTINGS)();
   return new Peers({
@@ -84,21 +87,21 @@
       self: {host, dataCentre, incarnation: context.get(INCARNATION)},
       key: createPeerKey(),
       maxFrameBytes: MAX_FRAME_BYTES,
-      idleLimitMs: 2 * (HEARTBEAT_MS + SILENCE_MS),
+      idleLimitMs: 2 * (HEARTBEAT_MS + HEARTBEAT_TIMEOUT_MS),
       handle: (request, from) => container.get(PeerWords).handle(request, from),
       clock: context.get(CLOCK),
       log: context.get(LOG),
     },
     random: context.get(RANDOM),
     heartbeatMs: HEARTBEAT_MS,
-    silenceMs: SILENCE_MS,
+    silenceMs: HEARTBEAT_TIMEOUT_MS,
     seeds: seeds.filter(seed => seed !== self.address),
-    listCandidates: () => known.listAddresses(),
-    listLinks: () => chooseRelayLinks(self, known),
+    listCandidates: () => knownHosts.listAddresses(),
+    listLinks: () => chooseRelayLinks(self, knownHosts),
     createHeartbeat: (peer, acknowledged) =>
       container.get(PeerWords).createHeartbeat(peer, acknowledged),
     receiveReply: (peer, reply, sentMs) =>
       container.get(PeerWords).receiveReply(peer, reply, sentMs),
-    onUnreachable: address => known.addUnreachable(address),
+    onUnreachable: address => knownHosts.addUnreachable(address),
   });
 }
--- a/src/relay_host/bind_relay_host.ts
+++ b/src/relay_host/bind_relay_host.ts
@@ -12,7 +12,7 @@
 import {SharedRetryBudget} from '../routing/index.js';
 import {UsageLedger} from '../usage/index.js';
 import {bindDuties} from './bind_duties.js';
-import {bindKnowledge} from './bind_knowledge.js';
+import {bindClusterState} from './bind_cluster_state.js';
 import {bindRollouts} from './bind_rollouts.js';
 import {bindPeering} from './bind_peering.js';
 import {
@@ -26,7 +26,7 @@
 
 /** Binds every component that does not depend on the platform. */
 export function bindRelayHost(container: Container): void {
-  bindKnowledge(container);
+  bindClusterState(container);
   bindDuties(container);
   bindPeering(container);
   bindRollouts(container);
--- a/src/relay_host/bind_rollouts.ts
+++ b/src/relay_host/bind_rollouts.ts
@@ -23,7 +23,7 @@
   SELF,
 } from './identifiers.js';
 
-/** Binds what moves services from version to version. */
+/** Binds the components that roll out new versions of services. */
 export function bindRollouts(container: Container): void {
   bind(container, RolloutOrders, () => new RolloutOrders());
   bind(container, VersionLedger, () => new VersionLedger());
@@ -50,7 +50,7 @@
   bind(container, RolloutDriver, context => {
     const fleet = context.get(Fleet);
     const catalog = context.get(CatalogStore);
-    const trueTime = context.get(TrueTime);
+    const referenceTime = context.get(TrueTime);
     return new RolloutDriver({
       clock: context.get(CLOCK),
       log: context.get(LOG),
@@ -62,7 +62,7 @@
       hasService: service =>
         catalog.getView()?.catalog.services.has(service) === true,
       countReady: service => fleet.countReady(service),
-      getTableMs: () => trueTime.readSharedMs(),
+      getTableMs: () => referenceTime.readSharedMs(),
       getBound: () => context.get(GET_SETTINGS)().exposure,
     });
   });
--- a/src/relay_host/create_peer_key.ts
+++ b/src/relay_host/create_peer_key.ts
@@ -1,7 +1,7 @@
 /**
- * Returns the key with which peers prove themselves. The platform gives its
- * processes no secret, so this tells a peer from a stray connection and keeps
- * nobody out who has read the source.
+ * Returns the key with which peers authenticate. The platform gives its processes no
+ * secret, so the key tells peers from stray connections, but does not keep out anybody who
+ * has read the source.
  */
 export function createPeerKey(): string {
   return 'sedgefall-relay-host';
--- a/src/relay_host/host_state.ts
+++ b/src/relay_host/host_state.ts
@@ -1,4 +1,4 @@
-/** Whether this host is stopping. */
+/** Holds whether this host is stopping. */
 export class HostState {
   private stopping = false;
 
@@ -6,7 +6,7 @@
     return this.stopping;
   }
 
-  /** Notes that the host stops; there is no way back. */
+  /** Records that the host is stopping; this cannot be undone. */
   setStopping(): void {
     this.stopping = true;
   }
--- a/src/relay_host/identifiers.ts
+++ b/src/relay_host/identifiers.ts
@@ -1,4 +1,4 @@
-/** Keys under which the container keeps what has no class of its own. */
+/** Container identifiers of components that have no class of their own. */
 import {ServiceIdentifier} from 'inversify';
 import {OrderServers} from '../buying/index.js';
 import {Log} from '../log/index.js';
@@ -13,7 +13,7 @@
 import {SendUsage} from '../usage/index.js';
 import {RelayHostSettings} from './relay_host_settings.js';
 
-/** Returns the settings in force. */
+/** Returns the current settings. */
 export type GetSettings = () => RelayHostSettings;
 
 export const CLOCK: ServiceIdentifier<Clock> = Symbol('Clock');
@@ -26,13 +26,14 @@
 export const TABLE: ServiceIdentifier<TableService> = Symbol('TableService');
 export const EXCHANGE: ServiceIdentifier<Exchange> = Symbol('Exchange');
 export const COPY_RUN: ServiceIdentifier<CopyRun> = Symbol('CopyRun');
-export const LOOK_FOR_END: ServiceIdentifier<LookForEnd> = Symbol('LookForEnd');
+export const LOOK_FOR_END: ServiceIdentifier<LookForEnd> =
+  Symbol('CheckTermination');
 export const ROLLOUT_STORE: ServiceIdentifier<RolloutStore> =
   Symbol('RolloutStore');
 export const SEND_USAGE: ServiceIdentifier<SendUsage> = Symbol('SendUsage');
 export const ORDER_SERVERS: ServiceIdentifier<OrderServers> =
   Symbol('OrderServers');
-/** Replica of the rows that hold the configuration. */
+/** Replica of the rows that contain the configuration. */
 export const CATALOG_ROWS: ServiceIdentifier<RowReplica> =
   Symbol('CatalogRows');
 /** Replica of the rows in which servers register themselves. */
--- a/src/relay_host/index.ts
+++ b/src/relay_host/index.ts
@@ -1,6 +1,6 @@
-/** The relaying entry host: its parts put together, started and stopped. */
+/** Entry host that relays requests: its assembly, start and stop. */
 export {bindRelayHost} from './bind_relay_host.js';
-export type {Entrance} from './entrance.js';
+export type {CallerListener} from './caller_listener.js';
 export {HostState} from './host_state.js';
 export * from './identifiers.js';
 export {REPLICA} from './replica_names.js';
--- a/src/relay_host/relay_host.ts
+++ b/src/relay_host/relay_host.ts
@@ -6,20 +6,20 @@
 import {Peers} from '../peer/index.js';
 import {Clock} from '../time/index.js';
 import {UsageReporter} from '../usage/index.js';
-import {Entrance} from './entrance.js';
+import {CallerListener} from './caller_listener.js';
 import {HostState} from './host_state.js';
 import {RelayHostSettings} from './relay_host_settings.js';
 
-/** A part that works until it is aborted. */
+/** Runs a component until it is aborted. */
 export type Task = (signal: AbortSignal) => Promise<void>;
 
-/** Something that answers on an address of its own. */
+/** Serves status information, such as readiness or metrics, on an address of its own. */
 export interface StatusListener {
   listen(host: string, port: number): Promise<void>;
   stop(): void;
 }
 
-/** The parts of a relaying host. */
+/** Dependencies of a `RelayHost`. */
 export interface RelayHostOptions {
   readonly settings: RelayHostSettings;
   readonly clock: Clock;
@@ -29,33 +29,35 @@
   readonly duty: Duty;
   readonly reporter: UsageReporter;
   readonly buyer: Buyer;
-  readonly entrance: Entrance;
+  readonly entrance: CallerListener;
   readonly ready: StatusListener;
   readonly metrics: StatusListener;
-  /** What the platform's side does besides, such as keeping replicas. */
+  /** Further tasks of the platform's components, such as updating replicas. */
   readonly tasks: readonly Task[];
 }
 
 /**
- * Time in which the platform turns new channels away after the first "not
- * ready", in milliseconds: two questions a second apart, and one to spare.
+ * Time in which the platform directs new connections elsewhere after the first "not ready"
+ * response, in milliseconds: two readiness checks one second apart, and one in reserve.
  */
-const TURN_AWAY_MS = 3000;
-/** Kept of the grace for the end of the process, in milliseconds. */
-const END_MS = 500;
+const READINESS_DELAY_MS = 3000;
+/**
+ * Part of the grace period that is reserved for the exit of the process, in milliseconds.
+ */
+const EXIT_RESERVE_MS = 500;
 const POLL_MS = 50;
-/** Time after the last answer for its bytes to leave, in milliseconds. */
-const LINGER_MS = 100;
+/** Time after the last answer for its bytes to be sent, in milliseconds. */
+const FLUSH_DELAY_MS = 100;
 
-/** An entry host that relays requests: starts its parts and stops them in order. */
+/** Entry host that relays requests: starts its components and stops them in order. */
 export class RelayHost {
   private readonly stopped = new AbortController();
-  private readonly duties = new AbortController();
-  private leaving: Promise<void> | undefined;
+  private readonly dutiesStopped = new AbortController();
+  private stopping: Promise<void> | undefined;
 
   constructor(private readonly options: RelayHostOptions) {}
 
-  /** Tells whether the host should get new channels. */
+  /** Tells whether the host should get new connections. */
   static isReady(
     catalog: CatalogStore,
     fleet: Fleet,
@@ -64,18 +66,18 @@
     return RelayHost.isKnown(catalog, fleet) && !state.isStopping();
   }
 
-  /** Tells whether the host knows what it needs to serve. */
+  /** Tells whether the host has what it needs to serve: configuration and servers. */
   static isKnown(catalog: CatalogStore, fleet: Fleet): boolean {
     return catalog.getView() !== undefined && fleet.isKnown();
   }
 
-  /** Listens and starts every task. */
+  /** Starts to listen, and starts every task. */
   async start(): Promise<void> {
     const {settings, log, peers, entrance, ready, metrics} = this.options;
-    await metrics.listen(...split(settings.metricsAddress));
-    await peers.listen(...split(settings.peersAddress));
-    await ready.listen(...split(settings.readyAddress));
-    await entrance.listen(...split(settings.callersAddress));
+    await metrics.listen(...splitAddress(settings.metricsAddress));
+    await peers.listen(...splitAddress(settings.peersAddress));
+    await ready.listen(...splitAddress(settings.readyAddress));
+    await entrance.listen(...splitAddress(settings.callersAddress));
     this.startTasks();
     log.info('started', {
       data_centre: settings.dataCentre,
@@ -85,10 +87,13 @@
     });
   }
 
-  /** Stops without cutting off a request; returns when it is over. */
+  /**
+   * Stops the host; resolves when it has stopped. Requests in progress may complete within
+   * the grace period.
+   */
   stop(): Promise<void> {
-    this.leaving ??= this.leave();
-    return this.leaving;
+    this.stopping ??= this.drainAndStop();
+    return this.stopping;
   }
 
   private startTasks(): void {
@@ -103,7 +108,7 @@
 
   private startDuties(): void {
     const {settings, duty, reporter, buyer} = this.options;
-    const {signal} = this.duties;
+    const {signal} = this.dutiesStopped;
     if (settings.reportsUsage || settings.ordersServers) {
       void duty.run(signal);
     }
@@ -115,23 +120,23 @@
     }
   }
 
-  private async leave(): Promise<void> {
+  private async drainAndStop(): Promise<void> {
     const {clock, settings, state, entrance, log, peers} = this.options;
     const startMs = clock.monotonicMs();
     state.setStopping();
     log.info('stopping', {busy: entrance.countBusy()});
     peers.hurry();
     entrance.startClosing();
-    this.duties.abort();
+    this.dutiesStopped.abort();
     void this.flushUsage();
-    await clock.sleep(Math.min(TURN_AWAY_MS, settings.graceMs / 2));
+    await clock.sleep(Math.min(READINESS_DELAY_MS, settings.graceMs / 2));
     entrance.stopListening();
-    const lastMs = startMs + settings.graceMs - END_MS;
-    while (entrance.countBusy() > 0 && clock.monotonicMs() < lastMs) {
+    const drainUntilMs = startMs + settings.graceMs - EXIT_RESERVE_MS;
+    while (entrance.countBusy() > 0 && clock.monotonicMs() < drainUntilMs) {
       await clock.sleep(POLL_MS);
     }
     await this.flushUsage();
-    await clock.sleep(LINGER_MS);
+    await clock.sleep(FLUSH_DELAY_MS);
     log.info('stopped', {cut: entrance.countBusy()});
     this.stopped.abort();
     entrance.stop();
@@ -148,7 +153,7 @@
   }
 }
 
-function split(address: string): [host: string, port: number] {
+function splitAddress(address: string): [host: string, port: number] {
   const colon = address.lastIndexOf(':');
   return [address.slice(0, colon), Number(address.slice(colon + 1))];
 }
--- a/src/relay_host/relay_host_settings.ts
+++ b/src/relay_host/relay_host_settings.ts
@@ -5,39 +5,44 @@
 export interface RelayHostSettings {
   readonly host: string;
   readonly dataCentre: string;
-  /** Processor share that this host has, in cores. */
+  /** Share of the processor that this host may use, in cores. */
   readonly capacity: number;
-  /** IP number and port that callers connect to. */
+  /** IP address and port that callers connect to. */
   readonly callersAddress: string;
-  /** IP number and port that is asked whether the host takes channels. */
+  /** IP address and port at which the host reports whether it accepts connections. */
   readonly readyAddress: string;
-  /** IP number and port that peers connect to. */
+  /** IP address and port that peers connect to. */
   readonly peersAddress: string;
   readonly metricsAddress: string;
-  /** Addresses of some peers; these may be stale. */
+  /** Addresses of some peers; they may be stale. */
   readonly seeds: readonly string[];
   /**
-   * Time in which a new configuration, and a server that leaves, has to be known
-   * on every host, in milliseconds.
+   * Time within which every host must know of a new configuration and of a server that
+   * leaves, in milliseconds.
    */
   readonly newsMs: number;
-  /** Time between the request to stop and the kill, in milliseconds. */
+  /** Time between the request to stop and the killing of the process, in milliseconds. */
   readonly graceMs: number;
-  /** Retries allowed per request. */
+  /** Retries allowed per request, on average over `retryWindowMs`. */
   readonly retryRatio: number;
-  /** Span in which retries are counted, in milliseconds. */
+  /** Window in which retries are counted, in milliseconds. */
   readonly retryWindowMs: number;
-  /** Retries allowed in a span besides, over all hosts. */
+  /** Further retries allowed in a window, over all hosts. */
   readonly retrySlack: number;
   /** How long a duty is held without renewal, in milliseconds. */
   readonly leaseMs: number;
   readonly quota: QuotaBound;
-  /** What a bad version may get of its service's requests. */
+  /** Bound on the part of its service's requests that a bad version may get. */
   readonly exposure: ExposureBound;
   /** Whether usage is to be reported. */
   readonly reportsUsage: boolean;
   /** Whether servers are to be ordered. */
   readonly ordersServers: boolean;
+  /** Duration of the windows in which usage is counted, in milliseconds. */
   readonly usageWindowMs: number;
+  /**
+   * Time after the end of a window from which its usage report is too late, in
+   * milliseconds.
+   */
   readonly usageLateMs: number;
 }
--- a/src/relay_host/replica_names.ts
+++ b/src/relay_host/replica_names.ts
@@ -1,2 +1,2 @@
-/** Names under which hosts tell each other of the replicas. */
+/** Names of the replicas in the messages between hosts. */
 export const REPLICA = {CATALOG: 'catalog', SERVERS: 'servers'} as const;
