--- a/src/relay/relay_attempt.ts
+++ b/src/relay/relay_attempt.ts
@@ -297,8 +297,8 @@
     ) {
       return FlightEnd.NEUTRAL;
     }
-    const isSilent =
+    const isUnresponsive =
       this.silence?.getSignal().aborted === true || failure.unsent === true;
-    return isSilent ? FlightEnd.SILENT : FlightEnd.FAILED;
+    return isUnresponsive ? FlightEnd.SILENT : FlightEnd.FAILED;
   }
 }
--- a/test/relay/relay_property_test.ts
+++ b/test/relay/relay_property_test.ts
@@ -16,26 +16,26 @@
 
 /** How a server handles one exchange. */
 type Behaviour =
-  | {readonly kind: 'whole'}
+  | {readonly kind: 'complete'}
   | {readonly kind: 'lost'}
   | {readonly kind: 'not-run'}
   | {readonly kind: 'status'; readonly status: number}
   | {
       /** Closes the connection after some events, optionally within the next one. */
-      readonly kind: 'cut';
+      readonly kind: 'disconnected';
       readonly after: number;
       readonly midEvent: boolean;
     };
 
 const behaviour: fc.Arbitrary<Behaviour> = fc.oneof(
-  fc.constant<Behaviour>({kind: 'whole'}),
+  fc.constant<Behaviour>({kind: 'complete'}),
   fc.constant<Behaviour>({kind: 'lost'}),
   fc.constant<Behaviour>({kind: 'not-run'}),
   fc
     .constantFrom(404, 500, 503)
     .map((status): Behaviour => ({kind: 'status', status})),
   fc.record({
-    kind: fc.constant<'cut'>('cut'),
+    kind: fc.constant<'disconnected'>('disconnected'),
     after: fc.integer({min: 0, max: EVENTS - 1}),
     midEvent: fc.boolean(),
   }),
@@ -72,12 +72,12 @@
         return {kind: ExchangeKind.NOT_RUN, detail: 'status 503', full: true};
       case 'status':
         return createAnswer(current.status, ['failed']);
-      case 'whole':
+      case 'complete':
         return createAnswer(
           200,
           streaming ? formatEvents(first, EVENTS) : ['whole'],
         );
-      case 'cut':
+      case 'disconnected':
         return createAnswer(200, disconnect(current, first, streaming));
     }
   };
@@ -146,10 +146,10 @@
       if (!streaming || sink.status !== 200) {
         return;
       }
-      const whole = formatEvents(1, EVENTS).join('');
-      expect(whole.startsWith(sink.body)).to.equal(true);
+      const complete = formatEvents(1, EVENTS).join('');
+      expect(complete.startsWith(sink.body)).to.equal(true);
       if (sink.ended) {
-        expect(sink.body).to.equal(whole);
+        expect(sink.body).to.equal(complete);
       }
     }));
 
