--- a/src/relay_host/bind_relay_host.ts
+++ b/src/relay_host/bind_relay_host.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a relaying entry host together, by inversify. */
+/** Assembles an entry host that relays requests, by inversify. */
 import {Container} from 'inversify';
 import {CatalogStore} from '../catalog/index.js';
 import {bind} from '../container/index.js';
@@ -12,7 +12,7 @@
 import {SharedRetryBudget} from '../routing/index.js';
 import {UsageLedger} from '../usage/index.js';
 import {bindDuties} from './bind_duties.js';
-import {bindKnowledge} from './bind_knowledge.js';
+import {bindClusterState} from './bind_cluster_state.js';
 import {bindRollouts} from './bind_rollouts.js';
 import {bindPeering} from './bind_peering.js';
 import {
@@ -24,9 +24,9 @@
   RANDOM,
 } from './identifiers.js';
 
-/** Binds every part that does not depend on the platform. */
+/** Binds every component that does not depend on the platform. */
 export function bindRelayHost(container: Container): void {
-  bindKnowledge(container);
+  bindClusterState(container);
   bindDuties(container);
   bindPeering(container);
   bindRollouts(container);
@@ -44,8 +44,8 @@
         quota: context.get(Quota),
         limits: context.get(ServerLimits),
         quarantine: context.get(Quarantine),
-        budget: context.get(SharedRetryBudget),
-        ledger: context.get(UsageLedger),
+        retryBudget: context.get(SharedRetryBudget),
+        usageLedger: context.get(UsageLedger),
         exchange: context.get(EXCHANGE),
         copyRun: context.get(COPY_RUN),
         endedServers: new EndedServers(
@@ -53,7 +53,7 @@
           context.get(LOOK_FOR_END),
         ),
         senderRuns: new SenderRuns(context.get(CLOCK)),
-        versionGate: context.get(VersionGate),
+        versionSelector: context.get(VersionGate),
         versionLedger: context.get(VersionLedger),
       }),
   );
