--- a/src/fleet/peer_work.ts
+++ b/src/fleet/peer_work.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Prompt tokens an engine computes per millisecond: the rate of current engines
- * in the users' sheets. Used to weigh cached tokens against queues, and to
+ * Prompt tokens an engine computes per millisecond: the rate of the engines
+ * that the users run. Used to weigh cached tokens against queues, and to
  * estimate what a server has computed since a report.
  */
 export const PREFILL_TOKENS_PER_MS = 100;
--- a/src/relay/relay.ts
+++ b/src/relay/relay.ts
@@ -21,22 +21,16 @@
   constructor(private readonly options: RelayOptions) {
     const {metrics} = options;
     options.fleet.addListener(server => this.handleServerChange(server));
+    metrics.addCounter('relocated', 'Streams moved off leaving servers');
+    metrics.addCounter('relayed', 'Relayed requests by route and outcome');
     metrics.addCounter(
-      'relocated',
-      'Streams relocated from servers that leave',
+      'version_runs',
+      'Runs by version of their server and end',
     );
-    metrics.addCounter('relayed', 'Requests by route and outcome');
-    metrics.addCounter('version_runs', 'Runs by server version and outcome');
-    metrics.addCounter(
-      'runs_lost',
-      'Runs lost because their server terminated or closed the connection',
-    );
-    metrics.addHistogram(
-      'relay_first_byte',
-      'Time to the first byte of an answer',
-    );
-    metrics.addHistogram('relay_whole', 'Time to the end of a request');
-    metrics.addGauge('relay_in_flight', 'Requests being relayed', () =>
+    metrics.addCounter('runs_lost', 'Runs that their server broke off');
+    metrics.addHistogram('relay_first_byte', 'Time to the first byte');
+    metrics.addHistogram('relay_whole', 'Time to the end of an answer');
+    metrics.addGauge('relay_in_flight', 'Requests relayed now', () =>
       this.countRuns(),
     );
   }
