--- a/src/journal/book.ts
+++ b/src/journal/book.ts
@@ -15,44 +15,44 @@
   EntryState,
   RecordedAnswer,
   withAttempt,
-  withEnded,
+  withEndedAttempts,
 } from './entry.js';
 import {AppendFailure, Journal} from './journal.js';
 import {LiveEntry, track} from './live_entry.js';
 import {splitEntryKey, toOrder} from './recorded_order.js';
 
-/** What a book works with. */
+/** Options of a book. */
 export interface BookOptions {
-  /** Start of this host; makes the names of attempts unique. */
+  /** Incarnation of this host; makes the ids of attempts unique. */
   readonly incarnation: string;
   readonly clock: Clock;
   readonly log: Log;
   readonly dispatch: Dispatch;
   readonly lookUp: Lookup;
-  /** Makes a key that needs no table, to offer while the table is away. */
+  /** Mints a key that works without the table, offered while the table is unavailable. */
   readonly mintKey: () => string;
   /** Longest wait for a record to become durable, in milliseconds. */
   readonly recordPatienceMs: number;
-  /** Pause between tries of an accepted call, in milliseconds. */
+  /** Pause between attempts at an accepted call, in milliseconds. */
   readonly acceptedRetryMs: number;
-  /** How long entries are kept, in milliseconds. */
+  /** Retention of entries, in milliseconds. */
   readonly retentionMs: number;
   /**
-   * Whether a call is recorded before it is dispatched. Slot books need it,
-   * since they change hands; a host book does not, since nobody but its host
-   * ever runs its keys.
+   * Whether a call is recorded before it is dispatched. Slot books need this
+   * because other hosts can take them over; a host book does not, because only its
+   * own host runs calls under its keys.
    */
   readonly recordsFirst: boolean;
-  /** Told of an outcome that could not be recorded, as the book was taken. */
+  /** Called with an outcome that could not be recorded because the book was taken. */
   readonly onOrphanedOutcome: (book: string, entry: Entry) => void;
 }
 
 /**
- * The calls of one book, each run at most once.
+ * Runs the calls of one book, each at most once.
  *
- * Only the holder of a book dispatches its calls, and it does so after the
- * record of the dispatch is durable. Whoever takes the book over reads that
- * record and never dispatches the call again.
+ * Only the holder of a book dispatches its calls, and only after the record of the
+ * dispatch is durable. A host that takes the book over reads that record and never
+ * dispatches the call again.
  */
 export class Book {
   private readonly entries = new Map<string, LiveEntry>();
@@ -62,7 +62,7 @@
   /**
    * @param id - Name of the book.
    * @param journal - Writes its entries.
-   * @param entries - Entries read from the table or taken from a peer.
+   * @param entries - Entries read from the table or received from a peer.
    */
   constructor(
     readonly id: string,
@@ -80,14 +80,14 @@
     }
   }
 
-  /** Returns the entry of a key. */
+  /** Returns the entry of a key; `undefined` if there is none. */
   getEntry(entryKey: string): Entry | undefined {
     return this.entries.get(entryKey)?.entry;
   }
 
   /**
-   * Returns the entries to hand over: all but those whose record is not
-   * durable, since their calls are not dispatched and never will be here.
+   * Returns the entries to hand over: all except running ones whose record is not
+   * durable. Their calls have not been dispatched and never will be by this host.
    */
   listEntries(): Entry[] {
     const entries: Entry[] = [];
@@ -99,12 +99,12 @@
     return entries;
   }
 
-  /** Tells whether it holds no entry. */
+  /** Returns whether the book has no entries. */
   isEmpty(): boolean {
     return this.entries.size === 0;
   }
 
-  /** Number of calls that run here now. */
+  /** Returns the number of calls that are running on this host. */
   countPending(): number {
     let count = 0;
     for (const live of this.entries.values()) {
@@ -115,8 +115,11 @@
     return count;
   }
 
-  /** Writes the state of every settled entry again, where that is in doubt. */
-  record(): void {
+  /**
+   * Writes every entry again whose state is not `dispatched`, for use where it is
+   * uncertain what has been written.
+   */
+  rewriteEntries(): void {
     for (const live of this.entries.values()) {
       if (live.entry.state !== EntryState.DISPATCHED) {
         void this.journal.add(live.entry);
@@ -124,12 +127,12 @@
     }
   }
 
-  /** Takes no more calls; those that run go on. */
+  /** Accepts no further calls; running calls continue. */
   close(): void {
     this.closed = true;
   }
 
-  /** Dispatches the calls that an earlier holder accepted but did not start. */
+  /** Dispatches the calls that an earlier holder accepted but did not dispatch. */
   resumeAccepted(): void {
     for (const live of this.entries.values()) {
       if (live.entry.state === EntryState.ACCEPTED) {
@@ -139,7 +142,7 @@
     }
   }
 
-  /** Waits until no call runs here. */
+  /** Waits until no call is running on this host. */
   async waitForPending(): Promise<void> {
     for (const live of this.entries.values()) {
       while (live.pending !== undefined) {
@@ -149,7 +152,7 @@
   }
 
   /**
-   * Runs a call, or tells what came of it when its key was seen before.
+   * Runs a call, or returns its outcome if its key is already recorded.
    * @param order - The call.
    */
   async run(order: CallOrder): Promise<CallOutcome> {
@@ -186,8 +189,9 @@
   }
 
   /**
-   * Tells what came of a call, without running it.
+   * Returns the outcome of a call without running it.
    * @param entryKey - Key of the entry.
+   * @returns The outcome; `undefined` if the key is not recorded.
    */
   async getOutcome(entryKey: string): Promise<CallOutcome | undefined> {
     const known = this.entries.get(entryKey);
@@ -200,8 +204,8 @@
   }
 
   /**
-   * Takes in an outcome that an earlier holder of the book learnt late.
-   * @param entry - The entry with its final state.
+   * Adds an outcome that an earlier holder of the book learnt when it no longer held it.
+   * @param entry - The entry as that holder knows it.
    */
   addLateOutcome(entry: Entry): void {
     const known = this.entries.get(entry.key);
@@ -217,8 +221,8 @@
     if (!open || !settles || known.pending !== undefined) {
       const ended = [entry.attempt, ...(entry.ended ?? [])];
       if (entry.state === EntryState.ACCEPTED) {
-        // Kept for whoever reads of those attempts in the table.
-        known.entry = withEnded(known.entry, ended);
+        // Lists them as ended, for a later holder that reads them in the table.
+        known.entry = withEndedAttempts(known.entry, ended);
       }
       return;
     }
@@ -231,7 +235,7 @@
     }
   }
 
-  /** Forgets entries that are older than the retention. */
+  /** Removes entries that are older than the retention. */
   trim(): void {
     const oldestMs =
       this.options.clock.now().getTime() - this.options.retentionMs;
@@ -272,7 +276,7 @@
   ): Promise<CallOutcome> {
     const recorded = await this.journal.append(
       live.entry,
-      this.getPatience(order),
+      this.getRecordTimeoutMs(order),
       () => {
         live.durable = true;
         live.accepted = true;
@@ -284,7 +288,7 @@
     return {kind: OutcomeKind.ACCEPTED};
   }
 
-  /** Runs an accepted call; its promise outlives the caller's deadline. */
+  /** Runs an accepted call; acceptance commits to it beyond the caller's deadline. */
   private async executeAccepted(
     live: LiveEntry,
     order: CallOrder,
@@ -295,15 +299,16 @@
       const dispatched = this.createEntry(order, EntryState.DISPATCHED);
       const {attempt} = dispatched;
       let accepted = live.entry;
-      // However long it takes: a record in doubt would leave others in doubt.
+      // No time limit: if it were uncertain whether this record exists, other hosts
+      // could not tell either.
       const recorded = await this.journal.add(dispatched, () => {
-        // From here on whoever takes the book over must not dispatch it.
+        // From here on, a host that takes the book over must not dispatch the call.
         accepted = withAttempt(live.entry, attempt);
         live.entry = dispatched;
       });
       if (recorded.isErr) {
-        // The next holder may know of this attempt or of an earlier one;
-        // none of them is under way here.
+        // The next holder may know of this attempt or of an earlier one; none of
+        // them is running on this host.
         live.entry = withAttempt(live.entry, attempt);
         break;
       }
@@ -329,7 +334,7 @@
     if (this.options.recordsFirst) {
       const recorded = await this.journal.append(
         live.entry,
-        this.getPatience(order),
+        this.getRecordTimeoutMs(order),
         () => {
           live.durable = true;
         },
@@ -379,7 +384,7 @@
       return this.finish(known, found, true);
     }
     return fail(
-      problems.outcomeUnknown('the call was begun and its answer was lost'),
+      problems.outcomeUnknown('the call was started but its answer was lost'),
     );
   }
 
@@ -388,15 +393,15 @@
     if (order.respondAsync && known.accepted) {
       return {kind: OutcomeKind.ACCEPTED};
     }
-    const over = new AbortController();
-    const late = clock
-      .sleep(order.deadlineMs - clock.monotonicMs(), over.signal)
+    const cancelTimer = new AbortController();
+    const timeout = clock
+      .sleep(order.deadlineMs - clock.monotonicMs(), cancelTimer.signal)
       .then(() => fail(problems.deadlinePassed(Ran.UNKNOWN)));
     const outcome = await Promise.race([
       known.pending ?? this.repeat(known),
-      late,
+      timeout,
     ]);
-    over.abort();
+    cancelTimer.abort();
     if (outcome.kind === OutcomeKind.FAILED && outcome.problem.ran === Ran.NO) {
       known.refusals.set(order.instance, outcome.problem);
     }
@@ -438,7 +443,7 @@
     return {kind: OutcomeKind.ANSWERED, answer, replayed};
   }
 
-  /** Puts an entry in its final state and records that in the background. */
+  /** Sets the final state of an entry and records it in the background. */
   private settle(
     live: LiveEntry,
     state: EntryState,
@@ -479,7 +484,7 @@
     return toOrder(entry, clock.monotonicMs() + retentionMs);
   }
 
-  private getPatience(order: CallOrder): number {
+  private getRecordTimeoutMs(order: CallOrder): number {
     const remainingMs = order.deadlineMs - this.options.clock.monotonicMs();
     return Math.max(0, Math.min(remainingMs, this.options.recordPatienceMs));
   }
--- a/src/journal/book_directory.ts
+++ b/src/journal/book_directory.ts
@@ -1,4 +1,4 @@
-/** A host's claim to hold a book. */
+/** Statement that a host holds a book. */
 export interface BookClaim {
   readonly book: string;
   readonly host: string;
@@ -6,24 +6,25 @@
   readonly fence: number;
 }
 
-/** Who holds which book, as far as this host has heard. */
+/** The holder of each book, as far as this host knows. */
 export class BookDirectory {
   private readonly claims = new Map<string, BookClaim>();
 
-  /** @param self - Name of this host, which knows best what it holds itself. */
+  /** @param self - Name of this host, the authority on which books it holds itself. */
   constructor(private readonly self: string) {}
 
-  /** Returns the host that holds a book. */
+  /** Returns the host that holds a book; `undefined` if it is not known. */
   getHolder(book: string): string | undefined {
     return this.claims.get(book)?.host;
   }
 
   /**
-   * Takes in a claim, from the table or from a peer.
+   * Adds a claim from the table or from a peer.
    *
-   * The higher fence wins; under one fence the book was handed on, and the
-   * later word wins. A book held here is not given up to such a word: its
-   * former holder may have said so before it handed the book on.
+   * The higher fence wins. Under an equal fence the book was handed over, and the
+   * claim received last wins. A book held by this host is not given up to a claim
+   * with an equal fence: its former holder may have sent that claim before it
+   * handed the book over.
    * @param claim - The claim.
    */
   add(claim: BookClaim): void {
@@ -38,13 +39,13 @@
     }
   }
 
-  /** Notes that this host has handed a book on under the same fence. */
-  handOn(claim: BookClaim): void {
+  /** Records that this host has handed a book over under the same fence. */
+  handOver(claim: BookClaim): void {
     this.remove(claim.book, this.self);
     this.add(claim);
   }
 
-  /** Forgets a claim that turned out to be false. */
+  /** Removes a claim that turned out to be false. */
   remove(book: string, host: string): void {
     if (this.claims.get(book)?.host === host) {
       this.claims.delete(book);
--- a/src/journal/book_handover.ts
+++ b/src/journal/book_handover.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {EntryState} from './entry.js';
 
-/** Schema of an entry that comes from a peer. */
+/** Schema of an entry received from a peer. */
 export const entrySchema = z.object({
   key: z.string(),
   requestId: z.string(),
@@ -28,7 +28,7 @@
     .optional(),
 });
 
-/** Schema of a book on its way from one host to another. */
+/** Schema of the message that hands a book over to another host. */
 export const bookHandoverSchema = z.object({
   /** Incarnation of the host that hands the book over. */
   from: z.string(),
@@ -42,5 +42,5 @@
   batches: z.array(z.object({sequence: z.number().int(), atMs: z.number()})),
 });
 
-/** A book on its way from one host to another. */
+/** Message that hands a book over to another host. */
 export type BookHandover = z.output<typeof bookHandoverSchema>;
--- a/src/journal/book_row.ts
+++ b/src/journal/book_row.ts
@@ -1,15 +1,15 @@
 import {Entry} from './entry.js';
 
-/** Row of a book: who may write to it, and how far it has been written. */
+/** Row of a book: its owner and the number of batches written. */
 export interface BookRow {
-  /** Name of the host that holds it; empty once released. */
+  /** Name of the host that holds the book; empty once released. */
   readonly owner: string;
   readonly ownerIncarnation: string;
-  /** Rises with every change of owner. */
+  /** Increases with every change of owner. */
   readonly fence: number;
   /** Number of batches written so far. */
   readonly sequence: number;
-  /** Identifies the last write, to settle a lost answer. */
+  /** Identifies the last write, so that its writer can check it after a lost answer. */
   readonly token: string;
 }
 
@@ -18,23 +18,23 @@
   readonly entries: readonly Entry[];
 }
 
-/** Prefix of the rows of books. */
+/** Prefix of the keys of book rows. */
 export const BOOK_PREFIX = 'books/';
 
 const BATCH_PREFIX = 'journal/';
 const SEQUENCE_DIGITS = 10;
 
-/** Key of a book's row. */
+/** Returns the key of a book's row. */
 export function getBookKey(book: string): string {
   return BOOK_PREFIX + book;
 }
 
-/** Prefix of the keys of a book's batches. */
+/** Returns the prefix of the keys of a book's batches. */
 export function getBatchPrefix(book: string): string {
   return `${BATCH_PREFIX}${book}/`;
 }
 
-/** Key of one batch; keys sort in the order of writing. */
+/** Returns the key of one batch; keys sort in the order of writing. */
 export function getBatchKey(book: string, sequence: number): string {
   const digits = String(sequence).padStart(SEQUENCE_DIGITS, '0');
   return getBatchPrefix(book) + digits;
--- a/src/journal/book_table.ts
+++ b/src/journal/book_table.ts
@@ -23,23 +23,23 @@
   readonly version: number;
 }
 
-/** A book read whole by its new owner. */
+/** A book as its new owner has read it from the table. */
 export interface OpenedBook {
   readonly position: BookPosition;
-  /** Last state of each key, in the order of writing. */
+  /** Last state of each key, in the order in which the keys were first written. */
   readonly entries: readonly Entry[];
-  /** Batches it consists of, with the time of their newest entry. */
+  /** Batches of the book, with the time of their newest entry. */
   readonly batches: readonly {
     readonly sequence: number;
     readonly atMs: number;
   }[];
 }
 
-/** Reads and takes books in the table. */
+/** Reads books in the table and takes ownership of them. */
 export class BookTable {
   constructor(private readonly table: TableService) {}
 
-  /** Reads the rows of all books whose name has a prefix. */
+  /** Reads the rows of all books whose names start with a prefix. */
   async list(
     prefix: string,
   ): Promise<Result<readonly ListedBook[], TableFailure>> {
@@ -48,12 +48,12 @@
   }
 
   /**
-   * Takes a book under a higher fence, then reads it.
+   * Takes ownership of a book under a higher fence, then reads its entries.
    *
-   * The order matters: once the row is changed nobody else can add to the
-   * book, so what is read afterwards is all there will ever be.
+   * The order matters: once the row has changed, no other host can add to the
+   * book, so the entries read afterwards are complete.
    * @param book - Name of the book.
-   * @param seen - Its row as last read; absent if it has none.
+   * @param seen - Its row as last read; `undefined` if it has none.
    * @param owner - The new owner.
    */
   async open(
@@ -89,7 +89,7 @@
     }));
   }
 
-  /** Reads the entries of a book, without taking it. */
+  /** Reads the entries of a book without taking ownership of it. */
   async readEntries(
     book: string,
   ): Promise<Result<Omit<OpenedBook, 'position'>, TableFailure>> {
--- a/src/journal/bookkeeper.ts
+++ b/src/journal/bookkeeper.ts
@@ -16,7 +16,7 @@
 import {SeenCopies} from './seen_copies.js';
 import {BookPosition, Journal, JournalOptions} from './journal.js';
 
-/** What the bookkeeper works with. */
+/** Options of the bookkeeper. */
 export interface BookkeeperOptions {
   readonly host: string;
   readonly incarnation: string;
@@ -24,31 +24,31 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly directory: BookDirectory;
-  /** Returns the names of the entry hosts that live, this one included. */
+  /** Returns the names of the live entry hosts, including this one. */
   readonly listLiveHosts: () => readonly string[];
-  /** Returns whether a start of a host is known to have ended. */
+  /** Returns whether an incarnation of a host is known to have terminated. */
   readonly isGone: (host: string, incarnation: string) => boolean;
   /** Common options of all books. */
   readonly book: Omit<
     BookOptions,
     'incarnation' | 'recordsFirst' | 'onOrphanedOutcome'
   >;
-  /** Writes per second that all hosts together may spend on books. */
+  /** Limit on the table writes per second for books, over all hosts. */
   readonly writesPerSecond: number;
   /** Time after which an unchanged row may be taken over, in milliseconds. */
   readonly leaseMs: number;
-  /** Pause between two looks at the rows, in milliseconds. */
+  /** Shortest interval between two checks of the rows, in milliseconds. */
   readonly watchMs: number;
   readonly lingerMs: number;
   readonly retryMs: number;
   readonly retentionMs: number;
   /** Returns whether the calls of a book are recorded before dispatch. */
   readonly recordsFirst: (book: string) => boolean;
-  /** Returns whether a slot book is to be held at all; every one is in use. */
+  /** Returns whether a slot book is used; without this option all are. */
   readonly ownsSlot?: (book: string) => boolean;
-  /** Passes a book to a peer; resolves to whether the peer has it. */
+  /** Sends a book to a peer; resolves to whether the peer has taken it. */
   readonly sendBook: (host: string, book: BookHandover) => Promise<boolean>;
-  /** Passes an outcome to the holder of its book; resolves to its receipt. */
+  /** Sends an outcome to the holder of its book; resolves to whether it was taken. */
   readonly sendOutcome: (
     host: string,
     book: string,
@@ -56,35 +56,35 @@
   ) => Promise<boolean>;
 }
 
-/** A row as this host has watched it. */
+/** A row as this host has observed it. */
 interface WatchedRow {
   readonly version: number;
-  /** When this version was first seen, on the monotonic clock. */
+  /** Time at which this version was first seen, on the monotonic clock, in ms. */
   readonly sinceMs: number;
 }
 
-/** Hosts looked at per second by all watchers together. */
+/** Limit on the checks of the book rows per second, over all hosts. */
 const WATCH_READS_PER_SECOND = 100;
-/** How long a book's last writes may hold up its handover. */
-const HANDOVER_PATIENCE_MS = 2000;
-/** Leases for which another host must come first before a book is moved. */
+/** Longest time for which pending writes of a book may delay its handover. */
+const HANDOVER_TIMEOUT_MS = 2000;
+/** Leases for which another host must rank first before a book is moved to it. */
 const LEASES_BEFORE_MOVE = 2;
-const MOVES_PER_LOOK = 2;
-/** Renewals per lease. */
+const MAX_MOVES_PER_CHECK = 2;
+/** Number of renewals within the duration of a lease. */
 const RENEWALS_PER_LEASE = 3;
 
-/** Holds the books of this host: takes them, keeps them, hands them on. */
+/** Manages the books held by this host: takes, renews and hands them over. */
 export class Bookkeeper {
   private readonly books = new Map<string, Book>();
   private readonly watched = new Map<string, WatchedRow>();
   private readonly opening = new Set<string>();
-  /** Books that another host should hold, and since when; monotonic ms. */
+  /** Books for which another host ranks first, and since when, in monotonic ms. */
   private readonly misplaced = new Map<string, number>();
   private readonly copies = new SeenCopies();
-  /** Incarnations that books were received from, by book. */
-  private readonly received = new Map<string, string>();
-  /** Books handed on, whose running calls end here. */
-  private readonly departed = new Set<Book>();
+  /** Incarnations from which books were received, by book. */
+  private readonly senderIncarnations = new Map<string, string>();
+  /** Books handed over whose running calls finish on this host. */
+  private readonly handedOverBooks = new Set<Book>();
   private readonly delivery: OutcomeDelivery;
   private readonly bookTable: BookTable;
   private readonly budget: CommitBudget;
@@ -96,7 +96,7 @@
     this.delivery = new OutcomeDelivery({
       clock: options.clock,
       log: options.log,
-      addHere: (book, entry) => this.addLateOutcome(book, entry),
+      addToLocalBook: (book, entry) => this.addLateOutcome(book, entry),
       getOtherHolder: book => {
         const holder = options.directory.getHolder(book);
         return holder === options.host ? undefined : holder;
@@ -107,29 +107,30 @@
     this.addHostBook();
   }
 
-  /** Names the book of the keys minted here. */
+  /** Returns the name of the book of the keys minted by this host. */
   getOwnBook(): string {
     return getHostBook(this.options.host, this.options.incarnation);
   }
 
-  /** Returns the host that this host's own book was handed to, if it was. */
+  /** Returns the host to which this host's own book was handed over, if any. */
   getOwnHolder(): string | undefined {
     const holder = this.options.directory.getHolder(this.getOwnBook());
     return holder === this.options.host ? undefined : holder;
   }
 
-  /** Returns the books held here, with their fences. */
+  /** Returns the positions of the books held by this host, with their fences. */
   listHeld(): readonly BookPosition[] {
     return [...this.books.values()].map(book => book.journal.getPosition());
   }
 
   /**
-   * Number of calls that run here, in books held here or handed on, and of
-   * outcomes on their way to another holder.
+   * Returns the number of calls running on this host, in held and in handed-over
+   * books, plus the outcomes being delivered to another holder. While this host is
+   * leaving, books with pending writes count as well.
    */
   countPending(): number {
-    let count = this.delivery.countUnderWay();
-    for (const book of [...this.books.values(), ...this.departed]) {
+    let count = this.delivery.countInFlight();
+    for (const book of [...this.books.values(), ...this.handedOverBooks]) {
       count += book.countPending();
       count += this.leaving && !book.journal.isIdle() ? 1 : 0;
     }
@@ -137,7 +138,7 @@
   }
 
   /**
-   * Runs a call if its book is held here.
+   * Runs a call if this host holds its book.
    * @param book - Name of the book.
    * @param order - The call.
    */
@@ -155,9 +156,10 @@
   }
 
   /**
-   * Tells what came of a call, from a book held here or from the table.
+   * Returns the outcome of a call from a book held by this host.
    * @param book - Name of the book.
    * @param entryKey - Key of the entry.
+   * @returns The outcome; `undefined` if the book is not held or has no such entry.
    */
   async getOutcome(
     book: string,
@@ -166,7 +168,7 @@
     return this.books.get(book)?.getOutcome(entryKey);
   }
 
-  /** Reads one entry of a book that nobody holds, from the table. */
+  /** Reads one entry from the table, whether or not any host holds its book. */
   async readEntry(book: string, entryKey: string): Promise<Entry | undefined> {
     const read = await this.bookTable.readEntries(book);
     if (read.isErr) {
@@ -176,8 +178,8 @@
   }
 
   /**
-   * Takes in an outcome learnt by an earlier holder.
-   * @returns Whether the book is held here.
+   * Adds an outcome learnt by an earlier holder of a book.
+   * @returns Whether this host holds the book.
    */
   addLateOutcome(book: string, entry: Entry): boolean {
     const held = this.books.get(book);
@@ -189,18 +191,19 @@
   }
 
   /**
-   * Watches the rows of the slot books, takes those that fall to this host and
-   * renews those it holds. The one task of the bookkeeper; runs until aborted.
+   * Checks the rows of the slot books periodically, takes the books due to this host
+   * and renews those it holds. The only background task of the bookkeeper; runs until
+   * aborted.
    */
   async watch(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.look();
+      await this.checkRows();
       await this.options.clock.sleep(this.getWatchMs(), signal);
     }
   }
 
-  /** Looks once at all rows; see `watch`. */
-  async look(): Promise<void> {
+  /** Checks all rows once; see `watch`. */
+  async checkRows(): Promise<void> {
     const {leaseMs} = this.options;
     for (const book of this.books.values()) {
       book.trim();
@@ -221,27 +224,28 @@
       if (this.options.ownsSlot?.(book) === false) {
         continue;
       }
-      await this.consider(book, byBook.get(book));
+      await this.considerTakeover(book, byBook.get(book));
     }
     await this.rebalance();
   }
 
   /**
-   * Takes a book that a peer hands on.
+   * Takes a book that a peer hands over.
    * @param handover - The book.
+   * @returns Whether this host has taken it.
    */
   receiveBook(handover: BookHandover): boolean {
     if (this.leaving || this.books.has(handover.position.book)) {
       return false;
     }
-    this.received.set(handover.position.book, handover.from);
+    this.senderIncarnations.set(handover.position.book, handover.from);
     const book = this.addBook(
       handover.position,
       handover.entries,
       handover.batches,
     );
     if (isSlotBook(book.id)) {
-      // Puts this host's name into the row, for all who watch it.
+      // Writes this host's name into the row, which the other hosts check.
       void book.journal.renew(0);
     }
     book.resumeAccepted();
@@ -254,10 +258,10 @@
   }
 
   /**
-   * Hands every book on, as this host is leaving.
+   * Hands all books over because this host is leaving.
    *
-   * Calls that run finish here; their outcomes follow to the new holder.
-   * @param successors - Hosts to try, best first.
+   * Running calls finish on this host; their outcomes are sent to the new holder.
+   * @param successors - Hosts that may take the books.
    */
   async handOver(successors: readonly string[]): Promise<void> {
     this.leaving = true;
@@ -266,9 +270,12 @@
     );
   }
 
-  /** Waits until every record that can be written is written. */
-  async flush(patienceMs: number): Promise<void> {
-    const endMs = this.options.clock.monotonicMs() + patienceMs;
+  /**
+   * Waits until all pending records are written.
+   * @param timeoutMs - Longest wait, in milliseconds.
+   */
+  async flush(timeoutMs: number): Promise<void> {
+    const endMs = this.options.clock.monotonicMs() + timeoutMs;
     for (const book of this.books.values()) {
       while (
         !book.journal.isIdle() &&
@@ -280,8 +287,9 @@
   }
 
   /**
-   * Hands a few books to the hosts that come first in rank for them, once
-   * those have lived for a while: after a cold start, or when hosts are added.
+   * Hands a few books over to the hosts that rank first for them, once another host
+   * has ranked first for some time. This happens after a cold start and when hosts
+   * are added.
    */
   private async rebalance(): Promise<void> {
     const {host, clock, leaseMs} = this.options;
@@ -289,18 +297,18 @@
     const nowMs = clock.monotonicMs();
     let moved = 0;
     for (const book of [...this.books.values()]) {
-      const first = rankByRendezvous(book.id, hosts)[0];
-      if (!isSlotBook(book.id) || first === host || first === undefined) {
+      const preferredHost = rankByRendezvous(book.id, hosts)[0];
+      if (!isSlotBook(book.id) || preferredHost === host || preferredHost === undefined) {
         this.misplaced.delete(book.id);
         continue;
       }
       const sinceMs = this.misplaced.get(book.id) ?? nowMs;
       this.misplaced.set(book.id, sinceMs);
       const settled = nowMs - sinceMs >= leaseMs * LEASES_BEFORE_MOVE;
-      if (settled && !this.leaving && moved < MOVES_PER_LOOK) {
+      if (settled && !this.leaving && moved < MAX_MOVES_PER_CHECK) {
         moved++;
         this.misplaced.delete(book.id);
-        await this.handOverBook(book, [first]);
+        await this.handOverBook(book, [preferredHost]);
       }
     }
   }
@@ -311,15 +319,15 @@
   ): Promise<void> {
     book.close();
     if (!isSlotBook(book.id)) {
-      // The outcomes of minted keys must be complete before another runs them.
+      // The outcomes of minted keys must be complete before another host holds them.
       await book.waitForPending();
     }
     if (successors.length === 0) {
-      // The book stays until what it has to say is written.
+      // The book stays on this host until its records are written.
       this.logNotHandedOver(book);
       return;
     }
-    await book.journal.release(HANDOVER_PATIENCE_MS);
+    await book.journal.release(HANDOVER_TIMEOUT_MS);
     const ranked = rankByRendezvous(book.id, successors);
     const handover = {
       from: this.options.incarnation,
@@ -327,12 +335,12 @@
       entries: book.listEntries(),
       batches: [...book.journal.listBatches()],
     };
-    this.departed.add(book);
-    void book.waitForPending().then(() => this.departed.delete(book));
+    this.handedOverBooks.add(book);
+    void book.waitForPending().then(() => this.handedOverBooks.delete(book));
     for (const host of ranked) {
       if (await this.options.sendBook(host, handover)) {
         this.books.delete(book.id);
-        this.options.directory.handOn({
+        this.options.directory.handOver({
           book: book.id,
           host,
           fence: handover.position.fence,
@@ -342,18 +350,18 @@
       }
     }
     book.journal.resume();
-    book.record();
+    book.rewriteEntries();
     this.logNotHandedOver(book);
   }
 
   private logNotHandedOver(book: Book): void {
     this.options.log.warn('book_not_handed_over', {
       book: book.id,
-      remedy: 'another host takes it once its lease has lapsed',
+      remedy: 'another host takes the book after its lease has expired',
     });
   }
 
-  private async consider(
+  private async considerTakeover(
     book: string,
     listed: ListedBook | undefined,
   ): Promise<void> {
@@ -375,7 +383,7 @@
       unchangedMs: waitedMs,
       self: this.options,
       liveHosts: this.options.listLiveHosts(),
-      isGone: this.options.isGone,
+      hasTerminated: this.options.isGone,
       leaseMs: this.options.leaseMs,
     });
     if (isDue && !this.leaving) {
@@ -383,7 +391,7 @@
     }
   }
 
-  /** Returns how long the row has been seen unchanged, in milliseconds. */
+  /** Returns for how long the row has been seen unchanged, in milliseconds. */
   private observe(book: string, listed: ListedBook | undefined): number {
     const version = listed?.version ?? 0;
     const nowMs = this.options.clock.monotonicMs();
@@ -396,17 +404,17 @@
   }
 
   /**
-   * Takes a book again that was received from a peer, when a last write of
-   * that peer, whose answer it never got, has come in between.
+   * Takes a book again that was received from a peer, if it was fenced by a last
+   * write of that peer, to which the peer never received the answer.
    */
   private async reopen(book: Book): Promise<void> {
     const listed = await this.bookTable.list(book.id);
     const row = listed.unwrapOr([])[0];
     const {fence} = book.journal.getPosition();
-    const late =
+    const isWriteOfSender =
       row?.row.fence === fence &&
-      row.row.ownerIncarnation === this.received.get(book.id);
-    if (this.leaving || row === undefined || !late) {
+      row.row.ownerIncarnation === this.senderIncarnations.get(book.id);
+    if (this.leaving || row === undefined || !isWriteOfSender) {
       return;
     }
     await this.open(book.id, row, book.listEntries());
@@ -415,7 +423,7 @@
   private async open(
     book: string,
     listed: ListedBook | undefined,
-    handed: readonly Entry[] = [],
+    handedOver: readonly Entry[] = [],
   ): Promise<void> {
     const {host, incarnation, log} = this.options;
     this.opening.add(book);
@@ -426,7 +434,7 @@
       return;
     }
     const {position, entries, batches} = opened.value;
-    const corrections = findCorrections(entries, handed);
+    const corrections = findCorrections(entries, handedOver);
     const taken = this.addBook(position, [...entries, ...corrections], batches);
     for (const correction of corrections) {
       void taken.journal.add(correction);
@@ -484,7 +492,7 @@
     this.options.directory.remove(book.id, this.options.host);
     this.options.log.warn('book_lost', {
       book: book.id,
-      reason: 'another host has written to it',
+      reason: 'another host has written to this book',
     });
     void this.reopen(book);
   }
--- a/src/journal/call_order.ts
+++ b/src/journal/call_order.ts
@@ -2,7 +2,7 @@
 import {Problem} from '../errors/index.js';
 import {RecordedAnswer} from './entry.js';
 
-/** A call that may run at most once, on its way to the holder of its book. */
+/** A call that may run at most once, as sent to the holder of its book. */
 export interface CallOrder {
   /** See `getEntryKey`. */
   readonly entryKey: string;
@@ -11,51 +11,51 @@
   readonly deployment: string;
   readonly fingerprint: string;
   readonly call: ServiceCall;
-  /** When the caller stops waiting, on the local monotonic clock, in ms. */
+  /** Time at which the caller stops waiting, on the local monotonic clock, in ms. */
   readonly deadlineMs: number;
-  /** Whether the caller wants to be answered once the call is durable. */
+  /** Whether the caller asked for an answer as soon as the call is durable. */
   readonly respondAsync: boolean;
   /**
-   * Identifies the caller's one request, which may reach a holder several
-   * times: a copy that comes late must not run what was already refused.
+   * Identifies one request of the caller, which may reach a holder several times: a
+   * delayed copy must not run a call that was already refused.
    */
   readonly instance: string;
-  /** Number of this copy: each is sent under a higher one. */
+  /** Number of this copy; each further copy is sent with a higher number. */
   readonly copy: number;
 }
 
-/** What came of a call. */
+/** Outcome of a call. */
 export const OutcomeKind = {
   ANSWERED: 'answered',
-  /** Durable; it will run, and the answer can be asked for. */
+  /** Recorded durably; the call will run, and its answer can be queried later. */
   ACCEPTED: 'accepted',
   FAILED: 'failed',
   /** This host does not hold the book; nothing was done. */
   MOVED: 'moved',
 } as const;
 
-/** What came of a call. */
+/** Outcome of a call. */
 export type CallOutcome =
   | {
       readonly kind: typeof OutcomeKind.ANSWERED;
       readonly answer: RecordedAnswer;
-      /** Whether the answer was given before, to an earlier request. */
+      /** Whether the answer is that of an earlier request under the same key. */
       readonly replayed: boolean;
     }
   | {readonly kind: typeof OutcomeKind.ACCEPTED}
   | {readonly kind: typeof OutcomeKind.FAILED; readonly problem: Problem}
   | {readonly kind: typeof OutcomeKind.MOVED};
 
-/** What came of dispatching a call to back ends. */
+/** Result of dispatching a call to backend servers. */
 export const DispatchKind = {
   ANSWERED: 'answered',
-  /** No back end received it, and none will. */
+  /** No backend server received it, and none will. */
   NOT_SENT: 'not-sent',
-  /** A back end may have received it; no answer came. */
+  /** A backend server may have received it, but no answer arrived. */
   LOST: 'lost',
 } as const;
 
-/** What came of dispatching a call to back ends. */
+/** Result of dispatching a call to backend servers. */
 export type DispatchResult =
   | {
       readonly kind: typeof DispatchKind.ANSWERED;
@@ -64,10 +64,10 @@
   | {readonly kind: typeof DispatchKind.NOT_SENT; readonly problem: Problem}
   | {readonly kind: typeof DispatchKind.LOST; readonly detail: string};
 
-/** Sends a call to a back end, never twice once it may have been received. */
+/** Sends a call to a backend server; never again once one may have received it. */
 export type Dispatch = (order: CallOrder) => Promise<DispatchResult>;
 
-/** Asks the back ends for an answer that was lost. */
+/** Queries the backend servers for an answer that was lost. */
 export type Lookup = (
   deployment: string,
   key: string,
--- a/src/journal/commit_budget.ts
+++ b/src/journal/commit_budget.ts
@@ -1,18 +1,18 @@
 import {Clock} from '../time/index.js';
 
 /**
- * Spends this host's share of the table's writes (token bucket).
+ * Limits this host to its share of the table's writes (token bucket).
  *
- * While writes are rare each goes out at once; when they are many, those that
- * wait are committed together.
+ * While writes are rare, each is sent at once. Under load, writes are delayed, and
+ * the entries that queue up meanwhile are committed together.
  */
 export class CommitBudget {
   private tokens: number;
   private refilledMs: number;
 
   /**
-   * @param getRate - Returns the writes per second this host may use now.
-   * @param clock - Measures the refill.
+   * @param getRate - Returns the writes per second that this host may use now.
+   * @param clock - Clock by which the bucket is refilled.
    */
   constructor(
     private readonly getRate: () => number,
@@ -22,7 +22,7 @@
     this.refilledMs = clock.monotonicMs();
   }
 
-  /** Waits until a write may be sent, and counts it. */
+  /** Takes one write from the budget and waits until it may be sent. */
   async spend(): Promise<void> {
     this.refill();
     this.tokens--;
--- a/src/journal/decide_takeover.ts
+++ b/src/journal/decide_takeover.ts
@@ -1,29 +1,31 @@
 import {rankByRendezvous} from '../random/index.js';
 import {BookRow} from './book_row.js';
 
-/** What the decision to take a book depends on. */
-export interface TakeoverQuestion {
+/** Input of the decision whether to take a book. */
+export interface TakeoverInput {
   readonly book: string;
-  /** Its row as last read; absent if it has none. */
+  /** Its row as last read; `undefined` if it has none. */
   readonly row: BookRow | undefined;
-  /** How long the row has been seen unchanged, in milliseconds. */
+  /** Time for which this host has seen the row unchanged, in milliseconds. */
   readonly unchangedMs: number;
   readonly self: {readonly host: string; readonly incarnation: string};
-  /** Names of the hosts that live, this one included. */
+  /** Names of the live hosts, including this one. */
   readonly liveHosts: readonly string[];
-  /** Returns whether a start of a host is known to have ended. */
-  readonly isGone: (host: string, incarnation: string) => boolean;
+  /** Returns whether an incarnation of a host is known to have terminated. */
+  readonly hasTerminated: (host: string, incarnation: string) => boolean;
   readonly leaseMs: number;
 }
 
 /**
- * Decides whether this host should take a book now. The first in rank takes a
- * vacant book at once and a silent owner's after one lease; each next in rank
- * waits one lease longer, in case those before it cannot. Two hosts that decide
- * alike do no harm: the row lets one of them win.
+ * Decides whether this host should take a book now.
+ *
+ * The host that ranks first takes a vacant book at once, and the book of an owner
+ * that no longer writes after one lease. Each following host waits one lease longer,
+ * in case those before it cannot take the book. Two hosts may decide to take the
+ * same book: the conditional write of its row lets only one succeed.
  */
-export function decideTakeover(question: TakeoverQuestion): boolean {
-  const {book, row, self, liveHosts, isGone} = question;
+export function decideTakeover(input: TakeoverInput): boolean {
+  const {book, row, self, liveHosts, hasTerminated} = input;
   const rank = rankByRendezvous(book, liveHosts).indexOf(self.host);
   if (rank < 0) {
     return false;
@@ -31,9 +33,9 @@
   const vacant =
     row === undefined ||
     row.owner === '' ||
-    isGone(row.owner, row.ownerIncarnation) ||
-    // Taken, but the entries could not be read: take it again.
+    hasTerminated(row.owner, row.ownerIncarnation) ||
+    // This host took the book but could not read its entries: take it again.
     (row.owner === self.host && row.ownerIncarnation === self.incarnation);
   const leases = vacant ? rank : rank + 1;
-  return question.unchangedMs >= leases * question.leaseMs;
+  return input.unchangedMs >= leases * input.leaseMs;
 }
--- a/src/journal/entry.ts
+++ b/src/journal/entry.ts
@@ -1,27 +1,27 @@
-/** How far a call under one key has got, as its book records it. */
+/** State of the call under one key, as its book records it. */
 export const EntryState = {
   /** Recorded, and may be dispatched from now on, once. */
   DISPATCHED: 'dispatched',
-  /** Recorded on the caller's wish to be answered later; not yet dispatched. */
+  /** Recorded for a caller that asked for a later answer; not yet dispatched. */
   ACCEPTED: 'accepted',
-  /** Answered; the answer is kept. */
+  /** Answered; the answer is stored. */
   FINISHED: 'finished',
-  /** Given up before it was dispatched; a repeated request starts again. */
+  /** Abandoned before it was dispatched; a repeated request starts anew. */
   REFUSED: 'refused',
-  /** May have run; the answer is lost, and it is never run again. */
+  /** May have run; its answer is lost, and it is never dispatched again. */
   UNKNOWN: 'unknown',
 } as const;
 export type EntryState = (typeof EntryState)[keyof typeof EntryState];
 
-/** An answer as a book keeps it. */
+/** An answer as a book stores it. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly contentType: string;
-  /** Base64 of the body; absent when it was too large to keep. */
+  /** Base64 of the body; absent when it was too large to store. */
   readonly bodyBase64?: string;
 }
 
-/** A call as a book keeps it until it is dispatched. */
+/** A call as a book stores it until it is dispatched. */
 export interface RecordedCall {
   readonly method: string;
   readonly path: string;
@@ -29,23 +29,23 @@
   readonly bodyBase64: string;
 }
 
-/** What a book records of one key. */
+/** Record of one key in a book. */
 export interface Entry {
   /** Customer and Idempotency-Key; see `getEntryKey`. */
   readonly key: string;
   readonly requestId: string;
   readonly deployment: string;
   /**
-   * Identifies the dispatch that this state is about; empty before the first.
-   * Word of one dispatch must never be taken for word of a later one.
+   * Identifies the dispatch that this state refers to; empty before the first.
+   * The outcome of one dispatch must never be attributed to a later one.
    */
   readonly attempt: string;
   /**
-   * Earlier dispatches under this key that certainly reached no back end; what
-   * another host knows of them is out of date.
+   * Earlier dispatches under this key that are known to have reached no backend
+   * server; what another host has recorded about them is out of date.
    */
   readonly ended?: readonly string[];
-  /** Hash of method, path and body: a key stands for one request only. */
+  /** Hash of method, path and body: a key identifies one request only. */
   readonly fingerprint: string;
   readonly state: EntryState;
   /** Wall-clock time of this state, in Unix milliseconds. */
@@ -56,7 +56,7 @@
 }
 
 /**
- * Joins a customer and its key; customers cannot meet each other's keys.
+ * Joins a customer and its key, so that keys of different customers never collide.
  * @param customer - Name of the customer.
  * @param key - Idempotency-Key of the request.
  */
@@ -64,21 +64,21 @@
   return `${customer}/${key}`;
 }
 
-/** Ended dispatches that an entry names; older ones no host can still know. */
-const MAX_ENDED = 8;
+/** Ended dispatches that an entry lists; no host can still know of older ones. */
+const MAX_ENDED_ATTEMPTS = 8;
 
 /**
- * Moves an entry on to another dispatch; the one before is named as ended.
+ * Sets the dispatch of an entry; the previous one is listed as ended.
  * @param entry - The entry.
- * @param attempt - The other dispatch.
+ * @param attempt - The new dispatch.
  */
 export function withAttempt(entry: Entry, attempt: string): Entry {
-  return {...withEnded(entry, [entry.attempt]), attempt};
+  return {...withEndedAttempts(entry, [entry.attempt]), attempt};
 }
 
-/** Names further dispatches of an entry as ended. */
-export function withEnded(entry: Entry, attempts: readonly string[]): Entry {
+/** Adds dispatches to those that an entry lists as ended. */
+export function withEndedAttempts(entry: Entry, attempts: readonly string[]): Entry {
   const ended = new Set([...(entry.ended ?? []), ...attempts]);
   ended.delete('');
-  return {...entry, ended: [...ended].slice(-MAX_ENDED)};
+  return {...entry, ended: [...ended].slice(-MAX_ENDED_ATTEMPTS)};
 }
--- a/src/journal/index.ts
+++ b/src/journal/index.ts
@@ -1,4 +1,4 @@
-/** At most once: books of calls, their journals and who holds them. */
+/** At-most-once calls: books of calls, their journals and their holders. */
 export * from './call_order.js';
 export * from './entry.js';
 export * from './book_id.js';
--- a/src/journal/journal.ts
+++ b/src/journal/journal.ts
@@ -10,7 +10,7 @@
 import {BookRow, getBatchKey, getBookKey} from './book_row.js';
 import {Entry} from './entry.js';
 
-/** Where a host stands in a book that it may write to. */
+/** Write position of the owner of a book. */
 export interface BookPosition {
   readonly book: string;
   readonly fence: number;
@@ -19,16 +19,16 @@
   readonly version: number;
 }
 
-/** How an append can fail. */
+/** Reasons for which an append can fail. */
 export const AppendFailure = {
-  /** Another host has taken the book; nothing more can be written. */
+  /** Another host has taken the book; nothing further can be written. */
   FENCED: 'fenced',
-  /** No certain answer in time; the entry may be written later. */
+  /** No conclusive answer within the timeout; the entry may still be written. */
   UNAVAILABLE: 'unavailable',
 } as const;
 export type AppendFailure = (typeof AppendFailure)[keyof typeof AppendFailure];
 
-/** What a journal works with. */
+/** Options of a journal. */
 export interface JournalOptions {
   readonly table: TableService;
   readonly clock: Clock;
@@ -36,49 +36,49 @@
   readonly incarnation: string;
   /** Waits until the host may send one more write. */
   readonly spendWrite: () => Promise<void>;
-  /** Longest time an outcome waits for company, in milliseconds. */
+  /** Longest time an outcome waits for others to share its batch, in milliseconds. */
   readonly lingerMs: number;
-  /** Pause before an unanswered write is sent again, in milliseconds. */
+  /** Pause before an unanswered write is retried, in milliseconds. */
   readonly retryMs: number;
-  /** How long batches are kept, in milliseconds. */
+  /** Retention of batches, in milliseconds. */
   readonly retentionMs: number;
 }
 
-/** An entry that waits to be written. */
-interface Waiting {
+/** An entry that is waiting to be written. */
+interface QueuedEntry {
   readonly entry: Entry;
   readonly settle: (result: Result<void, AppendFailure>) => void;
 }
 
-/** A batch in the table that will be trimmed. */
+/** A batch in the table, to be deleted after the retention. */
 export interface WrittenBatch {
   readonly sequence: number;
   readonly atMs: number;
 }
 
-const MAX_BATCH = 500;
-const MAX_TRIM = 20;
+const MAX_BATCH_ENTRIES = 500;
+const MAX_TRIMMED_BATCHES = 20;
 
 /**
- * Writes the entries of one book, many at a time (group commit).
+ * Writes the entries of one book in batches (group commit).
  *
  * Each write is conditional on the version of the book's row that this owner
- * wrote last. A host that took the book over has changed that row, so a write
- * of an earlier owner, however late, has no effect: the row is the fence.
+ * wrote last. A host that takes the book over changes that row, so a delayed write
+ * of an earlier owner has no effect: the row acts as the fence.
  */
 export class Journal {
   private position: BookPosition;
-  private waiting: Waiting[] = [];
-  private written: WrittenBatch[];
+  private queue: QueuedEntry[] = [];
+  private writtenBatches: WrittenBatch[];
   private writing = false;
-  private urgent = new AbortController();
+  private lingerAbort = new AbortController();
   private fenced = false;
   private lastWriteMs: number;
   private writes = 0;
 
   /**
-   * @param position - Where the owner stands.
-   * @param batches - Batches already in the table, for trimming.
+   * @param position - Write position of this owner.
+   * @param batches - Batches already in the table, to be deleted in time.
    */
   constructor(
     position: BookPosition,
@@ -86,28 +86,28 @@
     private readonly options: JournalOptions,
   ) {
     this.position = position;
-    this.written = [...batches];
+    this.writtenBatches = [...batches];
     this.lastWriteMs = options.clock.monotonicMs();
   }
 
-  /** Returns where this owner stands, to hand the book over. */
+  /** Returns the write position of this owner. */
   getPosition(): BookPosition {
     return this.position;
   }
 
-  /** Returns the batches in the table that are still to be trimmed. */
+  /** Returns the batches in the table that have not been deleted yet. */
   listBatches(): readonly WrittenBatch[] {
-    return this.written;
+    return this.writtenBatches;
   }
 
   /**
-   * Writes nothing more from here on, so that the book can be handed over.
-   * @param patienceMs - How long to wait for what is being written.
+   * Stops writing, so that the book can be handed over.
+   * @param timeoutMs - Longest wait for pending writes, in milliseconds.
    */
-  async release(patienceMs: number): Promise<void> {
+  async release(timeoutMs: number): Promise<void> {
     const {clock, retryMs} = this.options;
-    const endMs = clock.monotonicMs() + patienceMs;
-    this.urgent.abort();
+    const endMs = clock.monotonicMs() + timeoutMs;
+    this.lingerAbort.abort();
     while (!this.isIdle() && clock.monotonicMs() < endMs) {
       await clock.sleep(retryMs);
     }
@@ -115,52 +115,52 @@
     this.settleFenced();
   }
 
-  /** Writes again, since nobody took the book that was released. */
+  /** Resumes writing after `release`, if no host took the book. */
   resume(): void {
     this.fenced = false;
   }
 
-  /** Tells whether another host has taken the book. */
+  /** Returns whether the book was released or taken by another host. */
   isFenced(): boolean {
     return this.fenced;
   }
 
-  /** Tells whether nothing is written or waits to be. */
+  /** Returns whether no write is pending or in progress. */
   isIdle(): boolean {
-    return !this.writing && this.waiting.length === 0;
+    return !this.writing && this.queue.length === 0;
   }
 
   /**
    * Writes an entry and waits until it is durable.
    * @param entry - The entry.
-   * @param patienceMs - Longest wait, in milliseconds.
+   * @param timeoutMs - Longest wait, in milliseconds.
    * @param onWritten - See `add`.
    */
   async append(
     entry: Entry,
-    patienceMs: number,
+    timeoutMs: number,
     onWritten: () => void,
   ): Promise<Result<void, AppendFailure>> {
     if (this.fenced) {
       return Result.err(AppendFailure.FENCED);
     }
-    const over = new AbortController();
-    const written = this.enqueue(entry, onWritten);
-    this.urgent.abort();
-    const late = this.options.clock
-      .sleep(patienceMs, over.signal)
+    const cancelTimer = new AbortController();
+    const writeResult = this.enqueue(entry, onWritten);
+    this.lingerAbort.abort();
+    const timeout = this.options.clock
+      .sleep(timeoutMs, cancelTimer.signal)
       .then(() => Result.err<void, AppendFailure>(AppendFailure.UNAVAILABLE));
-    const result = await Promise.race([written, late]);
-    over.abort();
+    const result = await Promise.race([writeResult, timeout]);
+    cancelTimer.abort();
     return result;
   }
 
   /**
-   * Writes an entry in the background, in company where possible.
+   * Writes an entry in the background, batched with others where possible.
    * @param entry - The entry.
-   * @param onWritten - Called in the same turn in which the journal learns that
-   *   the entry is durable. The promise resolves turns later, and the book may
-   *   be handed over in between.
+   * @param onWritten - Called synchronously when the journal learns that the entry
+   *   is durable. The returned promise resolves in a later turn, and the book may be
+   *   handed over in between.
    */
   add(
     entry: Entry,
@@ -173,8 +173,8 @@
   }
 
   /**
-   * Renews the lease by rewriting the book's row, if it was idle.
-   * @param idleMs - Only when the last write is this old, in milliseconds.
+   * Renews the lease by rewriting the book's row, unless it was written recently.
+   * @param idleMs - Least age of the last write for a renewal, in milliseconds.
    */
   async renew(idleMs: number): Promise<void> {
     const ageMs = this.options.clock.monotonicMs() - this.lastWriteMs;
@@ -184,7 +184,7 @@
     this.writing = true;
     await this.commit([]);
     this.writing = false;
-    this.start();
+    this.startWriting();
   }
 
   private enqueue(
@@ -198,13 +198,13 @@
         }
         resolve(result);
       };
-      this.waiting.push({entry, settle});
-      this.start();
+      this.queue.push({entry, settle});
+      this.startWriting();
     });
   }
 
-  private start(): void {
-    if (this.writing || this.waiting.length === 0) {
+  private startWriting(): void {
+    if (this.writing || this.queue.length === 0) {
       return;
     }
     this.writing = true;
@@ -212,14 +212,14 @@
   }
 
   private async writeAll(): Promise<void> {
-    while (this.waiting.length > 0 && !this.fenced) {
-      await this.options.clock.sleep(this.options.lingerMs, this.urgent.signal);
+    while (this.queue.length > 0 && !this.fenced) {
+      await this.options.clock.sleep(this.options.lingerMs, this.lingerAbort.signal);
       await this.options.spendWrite();
-      this.urgent = new AbortController();
-      const batch = this.waiting.splice(0, MAX_BATCH);
-      const result = await this.commit(batch.map(waiting => waiting.entry));
-      for (const waiting of batch) {
-        waiting.settle(result);
+      this.lingerAbort = new AbortController();
+      const batch = this.queue.splice(0, MAX_BATCH_ENTRIES);
+      const result = await this.commit(batch.map(queued => queued.entry));
+      for (const queued of batch) {
+        queued.settle(result);
       }
     }
     this.writing = false;
@@ -229,12 +229,12 @@
   }
 
   private settleFenced(): void {
-    for (const waiting of this.waiting.splice(0)) {
-      waiting.settle(Result.err(AppendFailure.FENCED));
+    for (const queued of this.queue.splice(0)) {
+      queued.settle(Result.err(AppendFailure.FENCED));
     }
   }
 
-  /** Repeats one conditional write until it certainly took effect or cannot. */
+  /** Retries one conditional write until it has taken effect or never can. */
   private async commit(
     entries: readonly Entry[],
   ): Promise<Result<void, AppendFailure>> {
@@ -247,7 +247,7 @@
     while (!this.fenced) {
       const commit = await this.options.table.transact(steps);
       if (this.fenced) {
-        // Released meanwhile: the book was handed over without this batch.
+        // Released in the meantime: the book was handed over without this batch.
         break;
       }
       if (commit.isOk) {
@@ -274,7 +274,7 @@
     return Result.err(AppendFailure.FENCED);
   }
 
-  /** After a conflict: finds whether an unanswered try had taken effect. */
+  /** Checks after a conflict whether an earlier, unanswered try took effect. */
   private async findOwnWrite(
     token: string,
   ): Promise<number | undefined | 'unanswered'> {
@@ -294,9 +294,9 @@
   ): void {
     this.position = {...this.position, sequence, version};
     this.lastWriteMs = this.options.clock.monotonicMs();
-    this.written = this.written.filter(batch => !trimmed.includes(batch));
+    this.writtenBatches = this.writtenBatches.filter(batch => !trimmed.includes(batch));
     if (wroteBatch) {
-      this.written.push({sequence, atMs: this.options.clock.now().getTime()});
+      this.writtenBatches.push({sequence, atMs: this.options.clock.now().getTime()});
     }
   }
 
@@ -344,7 +344,7 @@
   private getTrimmable(): WrittenBatch[] {
     const nowMs = this.options.clock.now().getTime();
     const oldestKept = nowMs - this.options.retentionMs;
-    const trimmable = this.written.filter(batch => batch.atMs < oldestKept);
-    return trimmable.slice(0, MAX_TRIM);
+    const trimmable = this.writtenBatches.filter(batch => batch.atMs < oldestKept);
+    return trimmable.slice(0, MAX_TRIMMED_BATCHES);
   }
 }
--- a/src/journal/live_entry.ts
+++ b/src/journal/live_entry.ts
@@ -2,19 +2,19 @@
 import {CallOutcome} from './call_order.js';
 import {Entry} from './entry.js';
 
-/** An entry and, while its call runs here, the promise of its outcome. */
+/** An entry and, while its call is running on this host, the promise of its outcome. */
 export interface LiveEntry {
   entry: Entry;
-  /** Whether the record it stands on is certainly in the table. */
+  /** Whether the record it depends on is known to be in the table, if it needs one. */
   durable: boolean;
-  /** Whether a caller was told that the call is accepted. */
+  /** Whether acceptance of the call was recorded, so that a caller may be told so. */
   accepted: boolean;
   pending?: Promise<CallOutcome>;
-  /** Requests that were told their call did not run, with what they were told. */
+  /** Problems returned to requests whose call did not run, by request instance. */
   readonly refusals: Map<string, Problem>;
 }
 
-/** Marks a call as running here until its outcome is known. */
+/** Marks a call as running on this host until its outcome is known. */
 export function track(
   live: LiveEntry,
   pending: Promise<CallOutcome>,
--- a/src/journal/minted_key.ts
+++ b/src/journal/minted_key.ts
@@ -1,24 +1,24 @@
 const PREFIX = 'sf1';
 const PATTERN = /^sf1\.([a-z0-9-]+)\.([a-z0-9]+)\.([a-z0-9]+)$/;
 
-/** A key that an entry host made; that host alone may run its request. */
+/** A key minted by an entry host; only that host may run the request under it. */
 export interface MintedKey {
   readonly host: string;
   readonly incarnation: string;
   readonly sequence: string;
 }
 
-/** Writes a minted key as text: `sf1.HOST.INCARNATION.SEQUENCE`. */
+/** Formats a minted key as `sf1.HOST.INCARNATION.SEQUENCE`. */
 export function formatMintedKey(key: MintedKey): string {
   return `${PREFIX}.${key.host}.${key.incarnation}.${key.sequence}`;
 }
 
-/** Tells whether a text claims to be a minted key. */
+/** Returns whether a text has the prefix of minted keys. */
 export function isMintedKey(text: string): boolean {
   return text.startsWith(`${PREFIX}.`);
 }
 
-/** Reads a minted key; `undefined` when the text is none. */
+/** Parses a minted key; returns `undefined` if the text is not one. */
 export function parseMintedKey(text: string): MintedKey | undefined {
   const match = PATTERN.exec(text);
   if (match === null) {
@@ -28,7 +28,7 @@
   return {host, incarnation, sequence};
 }
 
-/** Mints keys for one start of one host. */
+/** Mints keys for one incarnation of a host. */
 export class KeyMint {
   private sequence = 0;
 
@@ -37,7 +37,7 @@
     private readonly incarnation: string,
   ) {}
 
-  /** Makes a key that was never made before. */
+  /** Returns a key that has not been minted before. */
   mint(): string {
     this.sequence++;
     return formatMintedKey({
--- a/src/journal/outcome_delivery.ts
+++ b/src/journal/outcome_delivery.ts
@@ -2,45 +2,45 @@
 import {Clock} from '../time/index.js';
 import {Entry} from './entry.js';
 
-/** What the delivery works with. */
+/** Options of the outcome delivery. */
 export interface OutcomeDeliveryOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Hands an outcome to the book if it is held here; tells whether it is. */
-  readonly addHere: (book: string, entry: Entry) => boolean;
-  /** Returns the other host that holds a book, as far as is known. */
+  /** Adds an outcome to its book if this host holds it; returns whether it does. */
+  readonly addToLocalBook: (book: string, entry: Entry) => boolean;
+  /** Returns the other host that holds a book, if one is known. */
   readonly getOtherHolder: (book: string) => string | undefined;
-  /** Passes an outcome to another host; resolves to its receipt. */
+  /** Sends an outcome to another host; resolves to whether that host has taken it. */
   readonly send: (host: string, book: string, entry: Entry) => Promise<boolean>;
   /** Pause between two attempts, in milliseconds. */
   readonly retryMs: number;
 }
 
-const ATTEMPTS = 40;
+const MAX_ATTEMPTS = 40;
 
 /**
- * Brings outcomes that could not be recorded here to the hosts that hold their
- * books by now, so that they do not stay unknown.
+ * Delivers outcomes that could not be recorded by this host to the current holders
+ * of their books, so that the outcomes do not stay unknown.
  */
 export class OutcomeDelivery {
-  private underWay = 0;
+  private inFlightCount = 0;
 
   constructor(private readonly options: OutcomeDeliveryOptions) {}
 
-  /** Number of outcomes on their way. */
-  countUnderWay(): number {
-    return this.underWay;
+  /** Returns the number of outcomes being delivered. */
+  countInFlight(): number {
+    return this.inFlightCount;
   }
 
   /**
-   * Delivers an outcome; tries again while the holder is not known or reached.
+   * Delivers an outcome; retries while the holder is unknown or cannot be reached.
    * @param book - Name of the book.
-   * @param entry - The entry with what is known of it.
+   * @param entry - The entry with its last known state.
    */
   async deliver(book: string, entry: Entry): Promise<void> {
-    this.underWay++;
+    this.inFlightCount++;
     const delivered = await this.tryDeliver(book, entry);
-    this.underWay--;
+    this.inFlightCount--;
     if (!delivered) {
       this.options.log.warn('outcome_not_delivered', {
         book,
@@ -51,9 +51,9 @@
   }
 
   private async tryDeliver(book: string, entry: Entry): Promise<boolean> {
-    const {addHere, clock, getOtherHolder, retryMs, send} = this.options;
-    for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
-      if (addHere(book, entry)) {
+    const {addToLocalBook, clock, getOtherHolder, retryMs, send} = this.options;
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      if (addToLocalBook(book, entry)) {
         return true;
       }
       const holder = getOtherHolder(book);
--- a/src/journal/recorded_order.ts
+++ b/src/journal/recorded_order.ts
@@ -1,16 +1,16 @@
 import {CallOrder} from './call_order.js';
 import {Entry} from './entry.js';
 
-/** Splits the key of an entry into customer and Idempotency-Key. */
+/** Splits an entry key into customer and Idempotency-Key. */
 export function splitEntryKey(entryKey: string): [string, string] {
   const slash = entryKey.indexOf('/');
   return [entryKey.slice(0, slash), entryKey.slice(slash + 1)];
 }
 
 /**
- * Makes the order of an accepted call again from what its book records.
+ * Rebuilds the order of an accepted call from its entry.
  * @param entry - The entry.
- * @param deadlineMs - Until when it is tried; monotonic ms.
+ * @param deadlineMs - Time until which the call is attempted, in monotonic ms.
  */
 export function toOrder(entry: Entry, deadlineMs: number): CallOrder {
   const [customer, key] = splitEntryKey(entry.key);
--- a/src/journal/seen_copies.ts
+++ b/src/journal/seen_copies.ts
@@ -1,18 +1,18 @@
-/** Requests remembered; far more than can be under way at once. */
+/** Number of requests remembered; far more than can be in flight at once. */
 const MAX_REQUESTS = 50_000;
 
 /**
- * The copies of each request that have come in. A copy that comes again, or
- * after a later one, is old: what it asked for was answered long ago.
+ * The latest copy received of each request. A copy that arrives again or after a
+ * later one is outdated: its request was answered long before.
  */
 export class SeenCopies {
   private readonly last = new Map<string, number>();
 
   /**
-   * Notes a copy.
+   * Records the arrival of a copy.
    * @param instance - The request.
    * @param copy - Number of the copy.
-   * @returns Whether it is newer than all copies seen.
+   * @returns Whether it is newer than all copies received before.
    */
   add(instance: string, copy: number): boolean {
     const known = this.last.get(instance);
--- a/test/journal/book_directory_test.ts
+++ b/test/journal/book_directory_test.ts
@@ -10,7 +10,7 @@
     directory = new BookDirectory('pdx-entry-1');
   });
 
-  it('believes the higher fence, and under one fence the later word', () => {
+  it('prefers the higher fence, and under an equal fence the later claim', () => {
     directory.add({book: BOOK, host: 'tac-entry-1', fence: 2});
     directory.add({book: BOOK, host: 'tac-entry-2', fence: 1});
     expect(directory.getHolder(BOOK)).to.equal('tac-entry-1');
@@ -18,16 +18,16 @@
     expect(directory.getHolder(BOOK)).to.equal('tac-entry-2');
   });
 
-  it('keeps a book that was received here when its former holder’s last word comes late', () => {
+  it('keeps a received book when a claim of its former holder arrives late', () => {
     directory.add({book: BOOK, host: 'tac-entry-2', fence: 1});
     directory.add({book: BOOK, host: 'pdx-entry-1', fence: 1});
     directory.add({book: BOOK, host: 'tac-entry-2', fence: 1});
     expect(directory.getHolder(BOOK)).to.equal('pdx-entry-1');
   });
 
-  it('gives a book held here up to a higher fence, and when it is handed on', () => {
+  it('gives a held book up to a higher fence, and when it is handed over', () => {
     directory.add({book: BOOK, host: 'pdx-entry-1', fence: 1});
-    directory.handOn({book: BOOK, host: 'tac-entry-1', fence: 1});
+    directory.handOver({book: BOOK, host: 'tac-entry-1', fence: 1});
     expect(directory.getHolder(BOOK)).to.equal('tac-entry-1');
     directory.add({book: BOOK, host: 'pdx-entry-1', fence: 2});
     directory.add({book: BOOK, host: 'tac-entry-2', fence: 3});
