--- a/src/service/call_message.ts
+++ b/src/service/call_message.ts
@@ -2,7 +2,7 @@
 import {ProblemKind, Ran} from '../errors/index.js';
 import {CallOrder, CallOutcome, OutcomeKind} from '../journal/index.js';
 
-/** A call on its way to the holder of its book, as peers exchange it. */
+/** Schema of the message that sends a call to the holder of its book. */
 export const callMessageSchema = z.object({
   book: z.string(),
   entryKey: z.string(),
@@ -15,14 +15,14 @@
   contentType: z.string(),
   body: z.custom<Uint8Array>(value => value instanceof Uint8Array),
   key: z.string().optional(),
-  /** Time left for the answer, in milliseconds: clocks are not compared. */
+  /** Time left for the answer, in milliseconds; a duration, as clocks of hosts differ. */
   remainingMs: z.number(),
   respondAsync: z.boolean(),
   instance: z.string(),
   copy: z.number().int(),
 });
 
-/** A call on its way to the holder of its book. */
+/** Message that sends a call to the holder of its book. */
 export type CallMessage = z.output<typeof callMessageSchema>;
 
 const answerSchema = z.object({
@@ -41,7 +41,7 @@
   extra: z.record(z.string(), z.unknown()).optional(),
 });
 
-/** What came of a call, as peers exchange it. */
+/** Schema of the outcome of a call in messages between peers. */
 export const callOutcomeSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal(OutcomeKind.ANSWERED),
@@ -54,10 +54,10 @@
 ]);
 
 /**
- * Writes a call as a message.
- * @param book - Book it belongs to.
+ * Converts a call to a message.
+ * @param book - Name of the book of the call.
  * @param order - The call.
- * @param nowMs - Monotonic time.
+ * @param nowMs - Monotonic time of this host, in milliseconds.
  */
 export function toCallMessage(
   book: string,
@@ -78,9 +78,9 @@
 }
 
 /**
- * Reads a call from a message.
+ * Converts a message to a call.
  * @param message - The message.
- * @param nowMs - Monotonic time.
+ * @param nowMs - Monotonic time of this host, in milliseconds.
  */
 export function fromCallMessage(
   message: CallMessage,
@@ -107,7 +107,7 @@
   };
 }
 
-/** Reads an outcome from a peer's reply; throws on anything else. */
+/** Parses the outcome of a call from a peer's reply; throws if it is invalid. */
 export function readCallOutcome(reply: unknown): CallOutcome {
   return callOutcomeSchema.parse(reply) as CallOutcome;
 }
--- a/src/service/index.ts
+++ b/src/service/index.ts
@@ -1,4 +1,4 @@
-/** Plain services: calls that may be repeated and calls that may not. */
+/** Plain services: repeatable calls and at-most-once calls. */
 export {
   callMessageSchema,
   fromCallMessage,
--- a/src/service/once_calls.ts
+++ b/src/service/once_calls.ts
@@ -25,7 +25,7 @@
   timeoutMs: number,
 ) => Promise<Result<unknown, PeerFailure>>;
 
-/** What the calls work with. */
+/** Options of the at-most-once calls. */
 export interface OnceCallsOptions {
   readonly host: string;
   readonly clock: Clock;
@@ -36,26 +36,25 @@
   readonly mintKey: () => string;
 }
 
-/** A call as the callers' interface hands it over. */
+/** An at-most-once call as the interface for callers passes it on. */
 export interface OnceCall {
   readonly order: CallOrder;
-  /** Idempotency-Key: the caller's, or one minted here for it. */
+  /** Idempotency-Key: the caller's, or one that this host minted for it. */
   readonly key: string;
   /**
-   * Whether the caller says, or this host knows, that the key was never sent
-   * before. Only then can a request that reached nobody be said not to have
-   * run.
+   * Whether the caller states, or this host knows, that the key was never sent
+   * before. Only then can a request that reached no host be reported as not run.
    */
   readonly firstAttempt: boolean;
 }
 
 const RETRY_MS = 100;
-/** Longest wait for one peer, after which its book's holder is looked up again. */
-const PEER_PATIENCE_MS = 3000;
-/** Wait for a book without a holder, when its last one has left. */
-const HOLDER_PATIENCE_MS = 3000;
+/** Time-out of a request to one peer, after which the holder is looked up again. */
+const PEER_TIMEOUT_MS = 3000;
+/** Longest wait for a holder of a book whose last holder has left. */
+const HOLDER_TIMEOUT_MS = 3000;
 
-/** Names the book of a key. */
+/** Returns the name of the book of a key. */
 export function getBookFor(customer: string, key: string): string {
   const minted = isMintedKey(key) ? parseMintedKey(key) : undefined;
   return minted === undefined
@@ -63,44 +62,46 @@
     : getHostBook(minted.host, minted.incarnation);
 }
 
-/** Brings calls that may run at most once to the holder of their book. */
+/** Sends calls that may run at most once to the holders of their books. */
 export class OnceCalls {
   constructor(private readonly options: OnceCallsOptions) {}
 
   /**
-   * Runs a call, wherever its book is held.
+   * Runs a call on the host that holds its book.
    *
-   * Asking a holder twice is safe: the book tells a repeated call from a new
-   * one. So lost peers are simply asked again, until the deadline.
+   * Sending a call to a holder twice is safe, because the book tells a repeated call
+   * from a new one. If no answer arrives, the call is therefore sent again until the
+   * deadline.
    * @param call - The call.
    */
   async run(call: OnceCall): Promise<CallOutcome> {
     const {clock} = this.options;
     const {order} = call;
     const book = getBookFor(order.customer, call.key);
-    let reached = false;
-    const giveUpMs = Math.min(
+    let mayHaveArrived = false;
+    const holderDeadlineMs = Math.min(
       order.deadlineMs,
-      clock.monotonicMs() + HOLDER_PATIENCE_MS,
+      clock.monotonicMs() + HOLDER_TIMEOUT_MS,
     );
     for (let copy = 0; ; copy++) {
-      const attempt = await this.ask(book, {...order, copy});
+      const attempt = await this.sendToHolder(book, {...order, copy});
       if (attempt.isOk && attempt.value.kind !== OutcomeKind.MOVED) {
         return attempt.value;
       }
-      reached ||= attempt.isErr && attempt.error === 'sent';
-      const limitMs = reached ? order.deadlineMs : giveUpMs;
-      if (clock.monotonicMs() + RETRY_MS >= limitMs) {
-        return this.giveUp(call, book, reached);
+      mayHaveArrived ||= attempt.isErr && attempt.error === 'sent';
+      const endMs = mayHaveArrived ? order.deadlineMs : holderDeadlineMs;
+      if (clock.monotonicMs() + RETRY_MS >= endMs) {
+        return this.failWithoutHolder(call, book, mayHaveArrived);
       }
       await clock.sleep(RETRY_MS);
     }
   }
 
   /**
-   * Tells what came of a call.
-   * @param customer - Customer that asks.
+   * Returns the outcome of a call.
+   * @param customer - Customer that made the call.
    * @param key - Idempotency-Key of the call.
+   * @returns The outcome; `undefined` if none is known.
    */
   async getOutcome(
     customer: string,
@@ -117,7 +118,7 @@
       const reply = await this.options.requestPeer(
         holder,
         body,
-        PEER_PATIENCE_MS,
+        PEER_TIMEOUT_MS,
       );
       if (reply.isOk) {
         const {outcome} = reply.value as {outcome?: unknown};
@@ -129,7 +130,7 @@
     return this.readOutcome(book, entryKey);
   }
 
-  private async ask(
+  private async sendToHolder(
     book: string,
     order: CallOrder,
   ): Promise<Result<CallOutcome, 'not-sent' | 'sent'>> {
@@ -146,7 +147,7 @@
     const reply = await this.options.requestPeer(
       holder,
       body,
-      Math.min(order.deadlineMs - nowMs, PEER_PATIENCE_MS),
+      Math.min(order.deadlineMs - nowMs, PEER_TIMEOUT_MS),
     );
     this.options.log.info('call_forwarded', {
       request: order.requestId,
@@ -160,25 +161,25 @@
     return Result.ok(readCallOutcome(reply.value));
   }
 
-  /** Says what is certain once no holder could be reached. */
-  private async giveUp(
+  /** Returns what is certain about a call when no holder could be reached. */
+  private async failWithoutHolder(
     call: OnceCall,
     book: string,
-    reached: boolean,
+    mayHaveArrived: boolean,
   ): Promise<CallOutcome> {
     const recorded = await this.readOutcome(book, call.order.entryKey);
     if (recorded !== undefined) {
       return recorded;
     }
-    if (reached || !call.firstAttempt) {
+    if (mayHaveArrived || !call.firstAttempt) {
       return {
         kind: OutcomeKind.FAILED,
         problem: problems.outcomeUnknown(
-          'the host that keeps the book of this key cannot be reached',
+          'the host that holds the book of this key cannot be reached',
         ),
       };
     }
-    // Nobody was reached and the key is new: no host has ever seen it.
+    // No host was reached and the key is new, so no host has ever received it.
     const offered = this.options.mintKey();
     return {
       kind: OutcomeKind.FAILED,
@@ -187,8 +188,8 @@
   }
 
   /**
-   * Reads a recorded outcome from the table, when its holder is out of reach.
-   * An answer that stands there is final; anything else is not conclusive.
+   * Reads a recorded outcome from the table when its holder cannot be reached.
+   * A recorded answer is final; any other state is inconclusive.
    */
   private async readOutcome(
     book: string,
--- a/src/service/service_dispatcher.ts
+++ b/src/service/service_dispatcher.ts
@@ -21,7 +21,7 @@
 } from '../routing/index.js';
 import {Clock} from '../time/index.js';
 
-/** What the dispatcher works with. */
+/** Options of the dispatcher. */
 export interface ServiceDispatcherOptions extends WatchOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -30,14 +30,14 @@
   readonly directory: ServerDirectory;
   readonly budget: RetryBudget;
   readonly isLeaving: (server: string) => boolean;
-  /** Data centre of this host: its servers are tried first. */
+  /** Data centre of this host, whose servers are preferred. */
   readonly dataCentre: string;
 }
 
 const MS_PER_SECOND = 1000;
 const SERVER_ERROR = 500;
 
-/** What a dispatch needs of a call. */
+/** Properties of a call that its dispatch needs. */
 export type DispatchOrder = Pick<
   CallOrder,
   'requestId' | 'deployment' | 'customer' | 'call' | 'deadlineMs'
@@ -48,8 +48,8 @@
   constructor(private readonly options: ServiceDispatcherOptions) {}
 
   /**
-   * Sends a call that may run at most once: another server is tried only
-   * while it is certain that none has received it.
+   * Sends a call that may run at most once. Another server is tried only while it is
+   * certain that none has received the call.
    * @param order - The call.
    */
   dispatchOnce(order: DispatchOrder): Promise<DispatchResult> {
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Sends a call that may run several times: another server is tried after any
-   * failure, as long as the retry budget and the deadline allow.
+   * Sends a call that may run several times. Another server is tried after any
+   * failure, as long as the retry budget and the deadline allow it.
    * @param order - The call.
    */
   dispatchRepeatable(order: DispatchOrder): Promise<DispatchResult> {
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Asks the servers of a deployment for an answer that was lost.
+   * Queries the servers of a deployment for an answer that was lost.
    * @param deploymentName - The deployment.
-   * @param key - Idempotency-Key the call was sent with.
+   * @param key - Idempotency-Key with which the call was sent.
    * @returns The answer, if a server has it.
    */
   async lookUp(
@@ -95,7 +95,7 @@
     repeat: Repeat,
   ): Promise<DispatchResult> {
     const {clock, budget, directory} = this.options;
-    // Deadline and retry budget bound the attempts, not their number.
+    // The attempts are limited by deadline and retry budget, not by their number.
     const attempts = new Attempts({
       repeat,
       maxRuns: Number.POSITIVE_INFINITY,
@@ -118,9 +118,11 @@
             }
           : failure;
       }
-      const heldMs = content.getHeldMs();
-      if (heldMs > 0) {
-        return attempts.count() === 0 ? refuseHeld(content, heldMs) : failure;
+      const blockedMs = content.getHeldMs();
+      if (blockedMs > 0) {
+        return attempts.count() === 0
+          ? refuseBlocked(content, blockedMs)
+          : failure;
       }
       if (!attempts.begin()) {
         return failure;
@@ -143,7 +145,7 @@
       if (result.kind === DispatchKind.LOST) {
         await content.addLoss(directory.getServer(server));
       }
-      // Once one server may have run it, that is what the caller is told.
+      // Once a server may have run the call, that failure is the one to report.
       failure = failure.kind === DispatchKind.LOST ? failure : result;
       if (!attempts.fail(server, result.kind === DispatchKind.LOST)) {
         return failure;
@@ -167,11 +169,11 @@
   ): Promise<DispatchResult> {
     const {clock, directory} = this.options;
     const service = directory.getService(server);
-    const flight = directory.startFlight(server, [], 0);
+    const inFlight = directory.startFlight(server, [], 0);
     const startMs = clock.monotonicMs();
     const answer = await service?.send(call, remainingMs);
     if (answer === undefined || answer.isErr) {
-      flight.finish(false);
+      inFlight.finish(false);
       const reach = answer?.error.reach ?? Reach.NOT_SENT;
       const detail = `${server}: ${answer?.error.message ?? 'not known'}`;
       this.options.log.warn('call_failed', {
@@ -187,8 +189,8 @@
           }
         : {kind: DispatchKind.LOST, detail};
     }
-    flight.addFirstToken(clock.monotonicMs() - startMs, 0);
-    flight.finish(true);
+    inFlight.addFirstToken(clock.monotonicMs() - startMs, 0);
+    inFlight.finish(true);
     return {
       kind: DispatchKind.ANSWERED,
       answer: toRecordedAnswer(answer.value),
@@ -205,9 +207,9 @@
     }
     const names = this.listCandidates(deployment, this.options.isLeaving);
     const usable = names.filter(name => !excluded.has(name));
-    const here = usable.filter(name => this.isHere(name));
+    const local = usable.filter(name => this.isInLocalDataCentre(name));
     const known = this.options.directory.listKnowledge(
-      here.length > 0 ? here : usable,
+      local.length > 0 ? local : usable,
       [],
     );
     const request = {promptTokens: 0, expectedTokens: 1, excluded};
@@ -229,7 +231,7 @@
     return found.map(server => server.name);
   }
 
-  private isHere(name: string): boolean {
+  private isInLocalDataCentre(name: string): boolean {
     const server = this.options.configuration.getView().servers.get(name);
     return server?.dataCentre === this.options.dataCentre;
   }
@@ -257,15 +259,18 @@
 }
 
 /**
- * Refuses a call that is kept away from servers: deadline and retry budget alone would
- * let one that may be repeated end every server of its service.
+ * Refuses a call that is blocked by the quarantine. Deadline and retry budget alone
+ * would let a repeatable call terminate every server of its service.
  */
-function refuseHeld(content: WatchedContent, heldMs: number): DispatchResult {
+function refuseBlocked(
+  content: WatchedContent,
+  blockedMs: number,
+): DispatchResult {
   return {
     kind: DispatchKind.NOT_SENT,
     problem: problems.quarantined(
       content.getName(),
-      Math.ceil(heldMs / MS_PER_SECOND),
+      Math.ceil(blockedMs / MS_PER_SECOND),
     ),
   };
 }
--- a/test/service/service_dispatcher_test.ts
+++ b/test/service/service_dispatcher_test.ts
@@ -9,7 +9,7 @@
 import {ServiceDispatcher} from '../../src/service/index.js';
 import {DEPLOYMENT, ServersThatEnd} from '../quarantine/servers_that_end.js';
 
-const ENDING = 'ends its server';
+const LETHAL_BODY = 'terminates its server';
 
 describe('ServiceDispatcher', () => {
   let servers: ServersThatEnd;
@@ -21,7 +21,7 @@
     const directory = new ServerDirectory(
       {
         createEngine: () => {
-          throw new Error('there are only services here');
+          throw new Error('unexpected engine: all servers run services');
         },
         createService,
       },
@@ -45,7 +45,7 @@
     return {
       getOutcome: async () => Result.ok(undefined),
       send: async ({requestId, body}) => {
-        if (Buffer.from(body).toString() === ENDING) {
+        if (Buffer.from(body).toString() === LETHAL_BODY) {
           return Result.err(servers.end(name, address));
         }
         const answer: ServiceAnswer = {
@@ -75,16 +75,16 @@
     });
   }
 
-  describe('a call that ends the servers that run it', () => {
-    it('ends three of them, however long it may be retried', async () => {
-      const result = await dispatch(ENDING);
+  describe('a call that terminates the servers that run it', () => {
+    it('terminates three of them, however long it may be retried', async () => {
+      const result = await dispatch(LETHAL_BODY);
       expect(result.kind).to.equal(DispatchKind.LOST);
       expect(servers.ends).to.have.length(3);
     });
 
     it('is refused as not run when it is sent again', async () => {
-      await dispatch(ENDING);
-      const result = await dispatch(ENDING);
+      await dispatch(LETHAL_BODY);
+      const result = await dispatch(LETHAL_BODY);
       expect(result.kind).to.equal(DispatchKind.NOT_SENT);
       const problem =
         result.kind === DispatchKind.NOT_SENT ? result.problem : undefined;
@@ -93,8 +93,8 @@
       expect(servers.ends).to.have.length(3);
     });
 
-    it('does not keep others from the servers that are left', async () => {
-      await dispatch(ENDING);
+    it('does not block other calls from the remaining servers', async () => {
+      await dispatch(LETHAL_BODY);
       const result = await dispatch('another');
       expect(result.kind).to.equal(DispatchKind.ANSWERED);
     });
