--- a/src/generation/answer_lengths.ts
+++ b/src/generation/answer_lengths.ts
@@ -1,22 +1,22 @@
-/** Answer length assumed before any was seen, in tokens. */
-const FIRST_GUESS = 64;
-/** Weight of the newest answer in the mean. */
-const NEWEST_WEIGHT = 0.05;
+/** Answer length assumed before any answer was observed, in tokens. */
+const INITIAL_ESTIMATE_TOKENS = 64;
+/** Weight of the latest answer in the moving average. */
+const LATEST_WEIGHT = 0.05;
 
-/** Mean length of the answers of each deployment, in tokens. */
+/** Moving average of the answer length of each deployment, in tokens. */
 export class AnswerLengths {
   private readonly means = new Map<string, number>();
 
-  /** Returns the mean length so far. */
+  /** Returns the expected answer length of a deployment, in tokens. */
   getExpected(deployment: string): number {
-    return this.means.get(deployment) ?? FIRST_GUESS;
+    return this.means.get(deployment) ?? INITIAL_ESTIMATE_TOKENS;
   }
 
-  /** Takes in the length of one answer. */
+  /** Adds the length of one answer. */
   add(deployment: string, tokens: number): void {
     const mean = this.means.get(deployment);
     const next =
-      mean === undefined ? tokens : mean + (tokens - mean) * NEWEST_WEIGHT;
+      mean === undefined ? tokens : mean + (tokens - mean) * LATEST_WEIGHT;
     this.means.set(deployment, next);
   }
 }
--- a/src/generation/generation.ts
+++ b/src/generation/generation.ts
@@ -1,46 +1,46 @@
 import {GenerationFormat} from '../backend/index.js';
 import {Problem} from '../errors/index.js';
 
-/** What a caller asked to be generated. */
+/** Request of a caller for a generation. */
 export interface GenerationRequest {
-  /** Id by which the answer can be asked for again. */
+  /** Id by which the answer can be requested again. */
   readonly id: string;
   readonly customer: string;
   readonly deployment: string;
-  /** Adapter asked for; empty for none. */
+  /** Requested adapter; empty for none. */
   readonly adapter: string;
   readonly format: GenerationFormat;
-  /** The caller's body, without members of this system. */
+  /** The caller's body without the properties that are specific to this system. */
   readonly body: Readonly<Record<string, unknown>>;
-  /** 0 to 7, smaller is more urgent. */
+  /** 0 to 7; a smaller value is more urgent. */
   readonly urgency: number;
-  /** When the whole answer is due, on the local monotonic clock, in ms. */
+  /** Deadline of the complete answer, on the local monotonic clock, in ms. */
   readonly deadlineMs: number;
 }
 
-/** Something that a reader of a generation sees. */
+/** Event that a reader of a generation receives. */
 export type GenerationEvent =
   | {readonly kind: 'token'; readonly position: number; readonly text: string}
   | {readonly kind: 'finished'; readonly reason: string}
   | {readonly kind: 'failed'; readonly problem: Problem};
 
 /**
- * A generation and all tokens it has so far.
+ * A generation with all tokens generated so far.
  *
- * Readers may come, go and return: each reads from the position it names, so a
- * caller that lost its connection misses nothing and sees nothing twice.
+ * Readers may disconnect and return. Each reads from the position it specifies, so a
+ * caller that lost its connection misses no token and receives none twice.
  */
 export class Generation {
   private readonly texts: string[] = [];
-  private end: GenerationEvent | undefined;
-  private readonly wakers = new Set<() => void>();
+  private finalEvent: GenerationEvent | undefined;
+  private readonly wakeCallbacks = new Set<() => void>();
   private readers = 0;
   private lastReadMs: number;
 
   /**
-   * @param request - What was asked for.
-   * @param continuation - Tokens generated elsewhere before.
-   * @param nowMs - Monotonic time.
+   * @param request - The request of the caller.
+   * @param continuation - Texts of the tokens generated before, elsewhere.
+   * @param nowMs - Monotonic time, in milliseconds.
    */
   constructor(
     readonly request: GenerationRequest,
@@ -56,32 +56,32 @@
     return this.texts;
   }
 
-  /** Tells whether no more tokens will come. */
+  /** Returns whether the generation has finished or failed. */
   isOver(): boolean {
-    return this.end !== undefined;
+    return this.finalEvent !== undefined;
   }
 
-  /** Adds the next token. */
+  /** Adds the next token, unless the generation is over. */
   addToken(text: string): void {
-    if (this.end === undefined) {
+    if (this.finalEvent === undefined) {
       this.texts.push(text);
       this.wake();
     }
   }
 
-  /** Ends it with all tokens generated. */
+  /** Ends the generation successfully. */
   finish(reason: string): void {
-    this.setEnd({kind: 'finished', reason});
+    this.setFinalEvent({kind: 'finished', reason});
   }
 
-  /** Ends it with a problem. */
+  /** Ends the generation with a problem. */
   fail(problem: Problem): void {
-    this.setEnd({kind: 'failed', problem});
+    this.setFinalEvent({kind: 'failed', problem});
   }
 
   /**
-   * Tells for how long nobody has read it, in milliseconds.
-   * @param nowMs - Monotonic time.
+   * Returns for how long the generation has had no reader, in milliseconds.
+   * @param nowMs - Monotonic time, in milliseconds.
    */
   getUnreadMs(nowMs: number): number {
     return this.readers > 0 ? 0 : nowMs - this.lastReadMs;
@@ -89,9 +89,9 @@
 
   /**
    * Reads events from a position to the end.
-   * @param from - Position of the first token wanted.
-   * @param signal - Ends the reading.
-   * @param getNowMs - Returns monotonic time.
+   * @param from - Position of the first token to read.
+   * @param signal - Stops reading.
+   * @param getNowMs - Returns the monotonic time, in milliseconds.
    */
   async *read(
     from: number,
@@ -110,11 +110,11 @@
           position++;
           continue;
         }
-        if (this.end !== undefined) {
-          yield this.end;
+        if (this.finalEvent !== undefined) {
+          yield this.finalEvent;
           return;
         }
-        await this.waitForNews();
+        await this.waitForUpdate();
       }
     } finally {
       signal.removeEventListener('abort', wakeOnAbort);
@@ -123,22 +123,22 @@
     }
   }
 
-  private setEnd(end: GenerationEvent): void {
-    if (this.end === undefined) {
-      this.end = end;
+  private setFinalEvent(event: GenerationEvent): void {
+    if (this.finalEvent === undefined) {
+      this.finalEvent = event;
       this.wake();
     }
   }
 
-  private waitForNews(): Promise<void> {
-    return new Promise(resolve => this.wakers.add(resolve));
+  private waitForUpdate(): Promise<void> {
+    return new Promise(resolve => this.wakeCallbacks.add(resolve));
   }
 
   private wake(): void {
-    const wakers = [...this.wakers];
-    this.wakers.clear();
-    for (const waker of wakers) {
-      waker();
+    const callbacks = [...this.wakeCallbacks];
+    this.wakeCallbacks.clear();
+    for (const callback of callbacks) {
+      callback();
     }
   }
 }
--- a/src/generation/generation_runner.ts
+++ b/src/generation/generation_runner.ts
@@ -31,9 +31,9 @@
 import {Generation} from './generation.js';
 import {GenerationMeter} from './generation_meter.js';
 import {RunningGenerations} from './running_generations.js';
-import {failHeld, watchGeneration} from './watch_generation.js';
+import {failBlocked, watchGeneration} from './watch_generation.js';
 
-/** What the runner works with. */
+/** Options of the runner. */
 export interface GenerationRunnerOptions extends WatchOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -48,13 +48,13 @@
   /** Throws when a token must not reach the caller; see `checkToken`. */
   readonly checkToken: (token: Token, generation: Generation) => void;
   readonly isLeaving: (server: string) => boolean;
-  /** Longest silence before the first token, in milliseconds. */
+  /** Longest wait for the first token, in milliseconds. */
   readonly firstTokenSilenceMs: number;
-  /** Longest silence between tokens, in milliseconds. */
+  /** Longest gap between tokens, in milliseconds. */
   readonly silenceMs: number;
 }
 
-/** What one attempt needs. */
+/** Input of one attempt. */
 interface Attempt {
   readonly generation: Generation;
   readonly deployment: Deployment;
@@ -64,36 +64,36 @@
   readonly promptTokens: number;
 }
 
-/** How an attempt ended. */
-interface AttemptEnd {
-  /** Why it ended early; empty when it did not. */
+/** Result of an attempt. */
+interface AttemptResult {
+  /** Why the stream ended early; empty if it was complete. */
   readonly detail: string;
-  /** Whether it was told to leave its server. */
+  /** Whether the generation was signalled to leave its server. */
   readonly moved: boolean;
-  /** Whether the server may have had it when it broke off. */
-  readonly brokeOff: boolean;
-  /** Server that holds the exported cache, if there is one. */
+  /** Whether it failed after the server may have received it, other than by a move. */
+  readonly failedAfterSend: boolean;
+  /** Server that holds the exported cache, if any. */
   readonly preferred: string | undefined;
 }
 
-const RETRY_PATIENCE_MS = 3000;
-const RETRY_POLL_MS = 100;
-/** Blocks that tell one kind of prompt from another. */
+const RETRY_TIMEOUT_MS = 3000;
+const RETRY_POLL_INTERVAL_MS = 100;
+/** Number of leading blocks by which kinds of prompts are distinguished. */
 const PREFIX_BLOCKS = 8;
-/** Blocks of a prompt that are looked up. */
+/** Number of blocks of a prompt that are looked up at most. */
 const MAX_BLOCKS = 1024;
 
 /**
- * Runs a generation to its end, on as many servers as it takes.
+ * Runs a generation to its end, on as many servers as needed.
  *
- * When a server fails, falls silent or is taken back, the next one goes on
- * after the tokens the caller already has.
+ * When a server fails, stops responding or is reclaimed, the next one continues
+ * after the tokens generated so far.
  */
 export class GenerationRunner {
   constructor(private readonly options: GenerationRunnerOptions) {}
 
   /**
-   * Chooses a server for a generation, without sending anything.
+   * Chooses a server for a generation without sending a request.
    * @param generation - The generation.
    * @param excluded - Servers that must not be used.
    */
@@ -138,19 +138,22 @@
         generation.fail(problems.deadlinePassed(Ran.UNKNOWN));
         return;
       }
-      const heldMs = content.getHeldMs();
-      if (heldMs > 0) {
-        failHeld(generation, content, attempt > 0, heldMs);
+      const blockedMs = content.getHeldMs();
+      if (blockedMs > 0) {
+        failBlocked(generation, content, attempt > 0, blockedMs);
         return;
       }
       if (attempt > 0 && !(await this.waitForRetry(generation, detail))) {
         return;
       }
-      const decision = prefer(this.choose(generation, excluded), preferred);
+      const decision = applyPreferredServer(
+        this.choose(generation, excluded),
+        preferred,
+      );
       this.logDecision(generation, decision, attempt);
       const {chosen} = decision;
       if (chosen === undefined && excluded.size > 0) {
-        // Every server has failed it once; a retry may go to any of them.
+        // Every server has failed once; a retry may use any of them again.
         excluded.clear();
         continue;
       }
@@ -172,13 +175,13 @@
         return;
       }
       const {directory} = this.options;
-      if (ended.brokeOff && !signal.aborted) {
+      if (ended.failedAfterSend && !signal.aborted) {
         await content.addLoss(directory.getServer(chosen.server));
       }
       detail = ended.detail;
       preferred = ended.preferred;
       if (ended.moved) {
-        // Leaving a server on notice is no failure and costs no retry.
+        // Leaving a server under notice is not a failure and costs no retry.
         attempt = -1;
         continue;
       }
@@ -193,22 +196,23 @@
   }
 
   /**
-   * Waits until the budget allows a retry. A caller that has tokens already
-   * has more to lose than time, so it waits for one; others are told at once.
+   * Waits until the budget allows a retry. A caller that already has tokens would lose
+   * them, so it waits for up to `RETRY_TIMEOUT_MS`; other callers get the failure at
+   * once.
    */
   private async waitForRetry(
     generation: Generation,
     detail: string,
   ): Promise<boolean> {
     const {budget, clock} = this.options;
-    const patienceMs = generation.getTexts().length > 0 ? RETRY_PATIENCE_MS : 0;
-    const endMs = clock.monotonicMs() + patienceMs;
+    const timeoutMs = generation.getTexts().length > 0 ? RETRY_TIMEOUT_MS : 0;
+    const endMs = clock.monotonicMs() + timeoutMs;
     while (!budget.spend()) {
       if (clock.monotonicMs() >= endMs) {
         generation.fail(problems.serverFailed(`${detail}; no retry is left`));
         return false;
       }
-      await clock.sleep(RETRY_POLL_MS);
+      await clock.sleep(RETRY_POLL_INTERVAL_MS);
     }
     return true;
   }
@@ -242,36 +246,41 @@
     };
   }
 
-  /** Streams from one server; returns how that ended. */
+  /** Streams from one server and returns how the stream ended. */
   private async attempt(
     attempt: Attempt,
     signal: AbortSignal,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptResult> {
     const {generation, chosen, blocks} = attempt;
     const {directory, running} = this.options;
     const known = directory.listKnowledge([chosen.server], blocks)[0];
     const prefill = attempt.promptTokens - (known?.cachedTokens ?? 0);
-    const flight = directory.startFlight(chosen.server, blocks, prefill);
-    const place = running.add(generation, chosen.server);
-    const stop = AbortSignal.any([signal, place.moved]);
+    const inFlight = directory.startFlight(chosen.server, blocks, prefill);
+    const handle = running.add(generation, chosen.server);
+    const stop = AbortSignal.any([signal, handle.moved]);
     try {
-      await this.stream(attempt, flight, stop);
-      flight.finish(true);
+      await this.stream(attempt, inFlight, stop);
+      inFlight.finish(true);
       return {
         detail: '',
         moved: false,
-        brokeOff: false,
+        failedAfterSend: false,
         preferred: undefined,
       };
     } catch (error) {
-      await place.waitForMove();
-      const moved = place.moved.aborted;
-      flight.finish(moved || signal.aborted);
+      await handle.waitForMove();
+      const moved = handle.moved.aborted;
+      inFlight.finish(moved || signal.aborted);
       const detail = error instanceof Error ? error.message : String(error);
       const isUnsent =
         error instanceof ServerFailure && error.reach === Reach.NOT_SENT;
-      const brokeOff = !moved && !isUnsent;
-      return {detail, moved, brokeOff, preferred: place.getPreferred()};
+      const failedAfterSend = !moved && !isUnsent;
+      return {
+        detail,
+        moved,
+        failedAfterSend,
+        preferred: handle.getPreferredServer(),
+      };
     } finally {
       running.remove(generation.request.id);
     }
@@ -279,18 +288,18 @@
 
   private async stream(
     attempt: Attempt,
-    flight: Flight,
+    inFlight: Flight,
     signal: AbortSignal,
   ): Promise<void> {
     const {generation, deployment, engine, chosen} = attempt;
     const {clock, meter, lengths} = this.options;
     const {deadlineMs} = generation.request;
-    // Past its deadline a stream is given up at once, silent or not.
-    const bound = (limitMs: number) =>
+    // Limits are shortened to the deadline, so that a stream does not outlast it.
+    const limitToDeadline = (limitMs: number) =>
       Math.max(0, Math.min(limitMs, deadlineMs - clock.monotonicMs()));
     const watch = new SilenceWatch(
       clock,
-      bound(this.options.firstTokenSilenceMs),
+      limitToDeadline(this.options.firstTokenSilenceMs),
     );
     const stop = AbortSignal.any([signal, watch.getSignal()]);
     const order = this.createOrder(generation, deployment);
@@ -302,11 +311,11 @@
         const nowMs = clock.monotonicMs();
         const first = previousMs === startMs;
         if (first) {
-          flight.addFirstToken(nowMs - startMs, chosen.firstTokenMs);
+          inFlight.addFirstToken(nowMs - startMs, chosen.firstTokenMs);
         }
         meter.addToken(generation.request, nowMs - previousMs, first);
         previousMs = nowMs;
-        watch.touch(bound(this.options.silenceMs));
+        watch.touch(limitToDeadline(this.options.silenceMs));
         generation.addToken(token.text);
         if (token.finishReason !== undefined) {
           lengths.add(deployment.name, generation.getTexts().length);
@@ -314,11 +323,14 @@
           return;
         }
       }
-      throw new ServerFailure(Reach.SENT, 'the stream ended too early');
+      throw new ServerFailure(
+        Reach.SENT,
+        'the stream ended before a finish reason',
+      );
     } catch (error) {
       if (watch.getSignal().aborted) {
-        const silence = `silent for ${watch.getLimitMs()} ms`;
-        throw new ServerFailure(Reach.SENT, silence);
+        const detail = `no token for ${watch.getLimitMs()} ms`;
+        throw new ServerFailure(Reach.SENT, detail);
       }
       throw error;
     } finally {
@@ -399,8 +411,8 @@
   }
 }
 
-/** Chooses the server that holds the exported cache, whatever its queue. */
-function prefer(
+/** Replaces the chosen server by the one that holds the cache, whatever its queue. */
+function applyPreferredServer(
   decision: RoutingDecision,
   preferred: string | undefined,
 ): RoutingDecision {
@@ -415,24 +427,24 @@
 }
 
 /**
- * Checks that a token belongs to a generation and comes in its place: one of
- * another request, or out of place, must never reach the caller.
+ * Checks that a token belongs to a generation and has the expected position. A token
+ * of another request or at another position must never reach the caller.
  * @param token - The token.
- * @param generation - The generation it came for.
- * @throws ServerFailure - When it does not.
+ * @param generation - The generation that it was received for.
+ * @throws ServerFailure - If the token does not belong there.
  */
 export function checkToken(token: Token, generation: Generation): void {
   if (token.requestId !== generation.request.id) {
     throw new ServerFailure(
       Reach.SENT,
-      'the stream carries the answer of another request',
+      'the stream contains a token of another request',
     );
   }
   const expected = generation.getTexts().length;
   if (token.position !== expected) {
     throw new ServerFailure(
       Reach.SENT,
-      `token ${token.position} came in place of token ${expected}`,
+      `received token ${token.position}, expected token ${expected}`,
     );
   }
 }
--- a/src/generation/generation_store.ts
+++ b/src/generation/generation_store.ts
@@ -2,44 +2,45 @@
 import {Clock} from '../time/index.js';
 import {Generation} from './generation.js';
 
-/** A generation that is kept, and how to stop it. */
-interface Kept {
+/** A generation with the controller that stops it. */
+interface StoredGeneration {
   readonly generation: Generation;
   readonly stop: AbortController;
-  overMs?: number;
+  /** Time at which it was first seen to be over, in monotonic ms. */
+  endedMs?: number;
 }
 
-/** Limits of the store. */
+/** Options of the store. */
 export interface GenerationStoreOptions {
   readonly clock: Clock;
-  /** How long a finished answer can be asked for again, in milliseconds. */
+  /** Time for which a finished answer can be requested again, in milliseconds. */
   readonly keepMs: number;
-  /** How long a generation goes on with nobody reading, in milliseconds. */
+  /** Time for which a generation without readers continues, in milliseconds. */
   readonly unreadMs: number;
 }
 
-/** The generations this host runs or has run lately. */
+/** The generations that this host runs or has run recently. */
 export class GenerationStore {
-  private readonly kept = new Map<string, Kept>();
+  private readonly storedById = new Map<string, StoredGeneration>();
 
   constructor(private readonly options: GenerationStoreOptions) {}
 
   /** Adds a generation; returns the controller that stops it. */
   add(generation: Generation): AbortController {
     const stop = new AbortController();
-    this.kept.set(generation.request.id, {generation, stop});
+    this.storedById.set(generation.request.id, {generation, stop});
     return stop;
   }
 
   /** Returns a generation by its id. */
   get(id: string): Generation | undefined {
-    return this.kept.get(id)?.generation;
+    return this.storedById.get(id)?.generation;
   }
 
-  /** Returns the generations that are not over. */
+  /** Returns the generations that have neither finished nor failed. */
   listRunning(): Generation[] {
     const running: Generation[] = [];
-    for (const {generation} of this.kept.values()) {
+    for (const {generation} of this.storedById.values()) {
       if (!generation.isOver()) {
         running.push(generation);
       }
@@ -47,36 +48,36 @@
     return running;
   }
 
-  /** Stops a generation that another host has taken over, and forgets it. */
+  /** Stops a generation and removes it, as when another host has taken it over. */
   remove(id: string): void {
-    this.kept.get(id)?.stop.abort();
-    this.kept.delete(id);
+    this.storedById.get(id)?.stop.abort();
+    this.storedById.delete(id);
   }
 
   /**
-   * Ends a generation here that another host goes on with; its readers are
-   * told to ask again for the events after the last one they have seen.
+   * Fails a generation on this host that another host continues. Its readers are to
+   * request the events after the last one that they have received.
    * @param id - Id of the generation.
    */
   handOver(id: string): void {
-    const kept = this.kept.get(id);
-    kept?.stop.abort();
-    kept?.generation.fail({...problems.hostDraining(), ran: Ran.UNKNOWN});
+    const stored = this.storedById.get(id);
+    stored?.stop.abort();
+    stored?.generation.fail({...problems.hostDraining(), ran: Ran.UNKNOWN});
   }
 
-  /** Stops what nobody reads and forgets what is long over. */
+  /** Stops generations without readers and removes those that ended long ago. */
   trim(): void {
     const nowMs = this.options.clock.monotonicMs();
-    for (const [id, kept] of this.kept) {
-      if (!kept.generation.isOver()) {
-        if (kept.generation.getUnreadMs(nowMs) > this.options.unreadMs) {
+    for (const [id, stored] of this.storedById) {
+      if (!stored.generation.isOver()) {
+        if (stored.generation.getUnreadMs(nowMs) > this.options.unreadMs) {
           this.remove(id);
         }
         continue;
       }
-      kept.overMs ??= nowMs;
-      if (nowMs - kept.overMs > this.options.keepMs) {
-        this.kept.delete(id);
+      stored.endedMs ??= nowMs;
+      if (nowMs - stored.endedMs > this.options.keepMs) {
+        this.storedById.delete(id);
       }
     }
   }
--- a/src/generation/reclaim_decision.ts
+++ b/src/generation/reclaim_decision.ts
@@ -1,41 +1,41 @@
 import {LossWeights} from '../configuration/index.js';
 
-/** What to do with a generation on a server that is taken back. */
+/** What to do with a generation on a server that is being reclaimed. */
 export const ReclaimAction = {
-  /** Let it finish where it is. */
+  /** Let it finish on this server. */
   FINISH: 'finish',
-  /** Export its KV cache and go on elsewhere without recomputing. */
+  /** Export its KV cache and continue on another server without recomputing. */
   EXPORT: 'export',
-  /** Go on elsewhere, recomputing the prompt and the tokens so far. */
+  /** Continue on another server, recomputing the prompt and the tokens so far. */
   RESUME: 'resume',
 } as const;
 export type ReclaimAction = (typeof ReclaimAction)[keyof typeof ReclaimAction];
 
-/** A generation on a server that is taken back. */
+/** A generation on a server that is being reclaimed. */
 export interface ReclaimCase {
   readonly id: string;
   /** Tokens of the prompt and of the answer so far. */
-  readonly heldTokens: number;
-  /** Tokens still expected. */
+  readonly contextTokens: number;
+  /** Number of tokens still expected. */
   readonly remainingTokens: number;
   /** Milliseconds between tokens on that server. */
   readonly decodeMs: number;
   readonly weights: LossWeights;
 }
 
-/** Conditions under which a server's generations are decided on. */
+/** Conditions for the decisions about the generations of one server. */
 export interface ReclaimSituation {
-  /** Notice left, in milliseconds. */
+  /** Time until the server is reclaimed, in milliseconds. */
   readonly remainingMs: number;
-  /** Tokens a second at which caches can be exported and imported. */
+  /** Tokens per second at which a cache can be exported and imported. */
   readonly transferRate: number;
-  /** Caches that the surviving servers can take in at once. */
+  /** Number of caches that the surviving servers can import at the same time. */
   readonly importSlots: number;
-  /** Whether another server can go on with the generations at all. */
+  /** Whether any other server can continue the generations. */
   readonly hasSurvivor: boolean;
 }
 
-/** What was decided for one generation. */
+/** Decision for one generation. */
 export interface ReclaimDecision {
   readonly id: string;
   readonly action: ReclaimAction;
@@ -44,24 +44,24 @@
   readonly reason: string;
 }
 
-/** Share of the notice that may be planned; the rest absorbs misjudgement. */
-const USABLE_NOTICE = 0.8;
+/** Share of the notice that is planned for; the rest absorbs estimation errors. */
+const USABLE_NOTICE_SHARE = 0.8;
 
 /**
- * Decides what becomes of each generation on a server that is taken back.
+ * Decides what to do with each generation on a server that is being reclaimed.
  *
- * What can finish in the notice finishes, at no cost. The rest is moved; the
- * notice is spent on exporting the caches that save the most per second of
- * it, as many as the survivors can take in, and what is left is recomputed.
+ * Generations that can finish within the notice do so, at no cost. The others are
+ * moved. The notice is used to export the caches that save the most per second, as
+ * many as the surviving servers can import; the remaining ones are recomputed.
  * @param cases - The generations.
  * @param situation - Conditions.
- * @returns Decisions, exports first in the order to carry them out.
+ * @returns Decisions, with the exports first, in the order in which to run them.
  */
 export function decideReclaim(
   cases: readonly ReclaimCase[],
   situation: ReclaimSituation,
 ): ReclaimDecision[] {
-  const usableMs = situation.remainingMs * USABLE_NOTICE;
+  const usableMs = situation.remainingMs * USABLE_NOTICE_SHARE;
   const decisions: ReclaimDecision[] = [];
   const moving: ReclaimCase[] = [];
   for (const item of cases) {
@@ -79,10 +79,10 @@
   for (const item of moving) {
     const value = getValue(item, situation);
     const transferMs = getTransferMs(item, situation);
-    const lane = Math.max(1, situation.importSlots);
-    const fits = spentMs + transferMs / lane <= usableMs;
+    const parallelImports = Math.max(1, situation.importSlots);
+    const fits = spentMs + transferMs / parallelImports <= usableMs;
     if (fits && situation.importSlots > 0) {
-      spentMs += transferMs / lane;
+      spentMs += transferMs / parallelImports;
       exported.push(decide(item, ReclaimAction.EXPORT, value, 'saves-most'));
     } else {
       decisions.push(
@@ -94,12 +94,12 @@
 }
 
 function getTransferMs(item: ReclaimCase, situation: ReclaimSituation): number {
-  return (item.heldTokens * 1000) / situation.transferRate;
+  return (item.contextTokens * 1000) / situation.transferRate;
 }
 
-/** Recomputed tokens avoided, weighed, per second of notice it takes. */
+/** Returns the weighted recomputation avoided per second of notice used. */
 function getValue(item: ReclaimCase, situation: ReclaimSituation): number {
-  const saved = item.heldTokens * item.weights.recomputedToken;
+  const saved = item.contextTokens * item.weights.recomputedToken;
   return (saved * 1000) / Math.max(1, getTransferMs(item, situation));
 }
 
--- a/src/generation/reclaim_watch.ts
+++ b/src/generation/reclaim_watch.ts
@@ -14,7 +14,7 @@
 } from './reclaim_decision.js';
 import {RunningGeneration, RunningGenerations} from './running_generations.js';
 
-/** What the watch works with. */
+/** Options of the watch. */
 export interface ReclaimWatchOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -23,37 +23,37 @@
   readonly running: RunningGenerations;
   readonly lengths: AnswerLengths;
   readonly runner: GenerationRunner;
-  /** Returns the notice left of a server, in ms; `undefined` without notice. */
+  /** Returns the time until a server is reclaimed, in ms; `undefined` without notice. */
   readonly getRemainingMs: (server: string) => number | undefined;
-  /** Tokens a second at which a KV cache is exported and imported. */
+  /** Tokens per second at which a KV cache is exported and imported. */
   readonly transferRate: number;
-  /** Caches taken in at once by the survivors. */
+  /** Number of caches that the surviving servers import at the same time. */
   readonly importSlots: number;
 }
 
-const WATCH_MS = 100;
-/** Notice at which what still runs is moved whatever was planned, in ms. */
-const LAST_MOMENT_MS = 1500;
+const CHECK_INTERVAL_MS = 100;
+/** Remaining notice below which all running generations are moved, in ms. */
+const FORCED_MOVE_NOTICE_MS = 1500;
 const DEFAULT_WEIGHTS = {recomputedToken: 1, lateSecond: 1};
 const DEFAULT_DECODE_MS = 30;
 
-/** Moves generations off servers that the platform takes back. */
+/** Moves generations away from servers that the platform reclaims. */
 export class ReclaimWatch {
-  /** Servers whose generations have been decided on. */
+  /** Servers under notice whose generations have been decided on. */
   private readonly decided = new Set<string>();
 
   constructor(private readonly options: ReclaimWatchOptions) {}
 
-  /** Watches until aborted. */
+  /** Checks the servers periodically until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.look();
-      await this.options.clock.sleep(WATCH_MS, signal);
+      await this.checkServers();
+      await this.options.clock.sleep(CHECK_INTERVAL_MS, signal);
     }
   }
 
-  /** Looks once at every server. */
-  async look(): Promise<void> {
+  /** Checks every server once. */
+  async checkServers(): Promise<void> {
     for (const server of this.options.directory.listServers()) {
       const remainingMs = this.options.getRemainingMs(server.name);
       if (remainingMs === undefined) {
@@ -63,8 +63,8 @@
       if (!this.decided.has(server.name)) {
         this.decided.add(server.name);
         void this.reclaim(server.name, remainingMs);
-      } else if (remainingMs < LAST_MOMENT_MS) {
-        await this.moveRest(server.name);
+      } else if (remainingMs < FORCED_MOVE_NOTICE_MS) {
+        await this.moveRemaining(server.name);
       }
     }
   }
@@ -99,21 +99,21 @@
     await Promise.all(exports);
   }
 
-  /** Moves what has not finished although it was expected to. */
-  private async moveRest(server: string): Promise<void> {
-    const rest = this.options.running.listOn(server);
-    if (!this.hasSurvivor(rest, server)) {
+  /** Moves generations that have not finished as expected. */
+  private async moveRemaining(server: string): Promise<void> {
+    const remaining = this.options.running.listOn(server);
+    if (!this.hasSurvivor(remaining, server)) {
       return;
     }
-    for (const item of rest) {
+    for (const item of remaining) {
       await this.export(item);
     }
   }
 
-  /** Exports a cache to the server that will go on, then moves there. */
+  /** Exports a cache to the server that will continue, then moves the generation. */
   private export(item: RunningGeneration): Promise<void> {
     const move = this.exportAndMove(item);
-    item.hold(move);
+    item.trackMove(move);
     return move;
   }
 
@@ -131,7 +131,7 @@
     if (exported.isOk && !generation.isOver()) {
       const imported = await target.importCache(exported.value);
       if (imported.isOk) {
-        item.prefer(next.server);
+        item.setPreferredServer(next.server);
       }
     }
     item.move.abort();
@@ -150,7 +150,7 @@
     const load = this.options.directory.getLoad(server)?.load;
     return {
       id: generation.request.id,
-      heldTokens: estimateTokens(prompt) + sent,
+      contextTokens: estimateTokens(prompt) + sent,
       remainingTokens: expected - sent,
       decodeMs: load?.decodeMs ?? DEFAULT_DECODE_MS,
       weights: deployment?.weights ?? DEFAULT_WEIGHTS,
@@ -184,7 +184,7 @@
   }
 }
 
-/** The caller's own limit on the answer; real engines often stop before it. */
+/** Returns the caller's limit on the answer; real engines often stop before it. */
 function getTokenLimit(generation: Generation): number | undefined {
   const {body} = generation.request;
   const limit = body['max_tokens'] ?? body['max_completion_tokens'];
--- a/src/generation/running_generations.ts
+++ b/src/generation/running_generations.ts
@@ -1,57 +1,57 @@
 import {Generation} from './generation.js';
 
-/** A generation on the server that runs it now. */
+/** A generation and the server that is running it. */
 export interface RunningGeneration {
   readonly generation: Generation;
   readonly server: string;
-  /** Aborted to make it leave that server. */
+  /** Aborted to make the generation leave that server. */
   readonly move: AbortController;
-  /** Tells that it is being moved, until the promise settles. */
-  hold(move: Promise<void>): void;
-  /** Names the server that holds its exported cache. */
-  prefer(server: string): void;
+  /** Marks the generation as being moved until the promise settles. */
+  trackMove(move: Promise<void>): void;
+  /** Sets the server that holds the exported cache. */
+  setPreferredServer(server: string): void;
 }
 
-/** A generation's place, as its runner sees it. */
-export interface GenerationPlace {
+/** Handle by which the runner of a generation follows its moves. */
+export interface RunHandle {
   /** Aborted when the generation must leave its server. */
   readonly moved: AbortSignal;
-  /** Waits until a move under way is over; its end of stream is no failure. */
+  /** Waits for a move in progress; a stream that ends because of it has not failed. */
   waitForMove(): Promise<void>;
-  /** Returns the server that holds its exported cache, if there is one. */
-  getPreferred(): string | undefined;
+  /** Returns the server that holds the exported cache, if any. */
+  getPreferredServer(): string | undefined;
 }
 
-/** Which server runs each generation now. */
+/** Tracks which server is running each generation. */
 export class RunningGenerations {
   private readonly running = new Map<string, RunningGeneration>();
 
-  /** Notes that a server runs a generation; `moved` tells it to leave there. */
-  add(generation: Generation, server: string): GenerationPlace {
+  /** Records that a server runs a generation; `moved` signals it to leave the server. */
+  add(generation: Generation, server: string): RunHandle {
     const move = new AbortController();
     let preferred: string | undefined;
-    const prefer = (name: string) => {
+    const setPreferredServer = (name: string) => {
       preferred = name;
     };
     let moving = Promise.resolve();
-    const hold = (promise: Promise<void>) => {
+    const trackMove = (promise: Promise<void>) => {
       moving = promise;
     };
-    const running = {generation, server, move, hold, prefer};
+    const running = {generation, server, move, trackMove, setPreferredServer};
     this.running.set(generation.request.id, running);
     return {
       moved: move.signal,
       waitForMove: () => moving,
-      getPreferred: () => preferred,
+      getPreferredServer: () => preferred,
     };
   }
 
-  /** Notes that a generation runs nowhere. */
+  /** Records that a generation is no longer running on any server. */
   remove(id: string): void {
     this.running.delete(id);
   }
 
-  /** Returns the generations on a server. */
+  /** Returns the generations running on a server. */
   listOn(server: string): RunningGeneration[] {
     const found: RunningGeneration[] = [];
     for (const running of this.running.values()) {
@@ -62,7 +62,7 @@
     return found;
   }
 
-  /** Number of generations that run. */
+  /** Returns the number of running generations. */
   count(): number {
     return this.running.size;
   }
--- a/src/generation/watch_generation.ts
+++ b/src/generation/watch_generation.ts
@@ -4,7 +4,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Watches what servers end under a generation. */
+/** Lets the quarantine track which servers terminate while running a generation. */
 export function watchGeneration(
   options: WatchOptions,
   {request}: Generation,
@@ -18,20 +18,20 @@
 }
 
 /**
- * Ends a generation that is kept away from servers: what a caller waits for with a
- * retry after each loss would end one server after the other until its deadline.
+ * Fails a generation that the quarantine blocks. Retrying it after each lost server
+ * would terminate one server after another until its deadline.
  * @param generation - The generation.
- * @param content - What it holds.
+ * @param content - The watched content of its request.
  * @param hasRun - Whether a server may have run it.
- * @param heldMs - Time for which it is kept away, in milliseconds.
+ * @param blockedMs - Time for which it stays blocked, in milliseconds.
  */
-export function failHeld(
+export function failBlocked(
   generation: Generation,
   content: WatchedContent,
   hasRun: boolean,
-  heldMs: number,
+  blockedMs: number,
 ): void {
-  const seconds = Math.ceil(heldMs / MS_PER_SECOND);
+  const seconds = Math.ceil(blockedMs / MS_PER_SECOND);
   const problem = problems.quarantined(content.getName(), seconds);
   generation.fail(hasRun ? {...problem, ran: Ran.UNKNOWN} : problem);
 }
--- a/test/generation/generation_runner_test.ts
+++ b/test/generation/generation_runner_test.ts
@@ -18,7 +18,7 @@
 } from '../../src/routing/index.js';
 import {DEPLOYMENT, ServersThatEnd} from '../quarantine/servers_that_end.js';
 
-const ENDING = 'ends its server';
+const LETHAL_PROMPT = 'terminates its server';
 
 describe('GenerationRunner', () => {
   let servers: ServersThatEnd;
@@ -31,7 +31,7 @@
       {
         createEngine,
         createService: () => {
-          throw new Error('there are only engines here');
+          throw new Error('unexpected service: all servers run engines');
         },
       },
       clock,
@@ -75,7 +75,7 @@
       readonly requestId: string;
       readonly body: Readonly<Record<string, unknown>>;
     }): AsyncGenerator<Token> {
-      if (order.body['prompt'] === ENDING) {
+      if (order.body['prompt'] === LETHAL_PROMPT) {
         throw servers.end(name, address);
       }
       const {requestId} = order;
@@ -111,25 +111,25 @@
     return last;
   }
 
-  describe('a generation that ends the engines that run it', () => {
-    it('ends three of them, however long its caller waits', async () => {
-      const end = await run(ENDING);
+  describe('a generation that terminates the engines that run it', () => {
+    it('terminates three of them, however long its caller waits', async () => {
+      const end = await run(LETHAL_PROMPT);
       expect(servers.ends).to.have.length(3);
       const problem = end?.kind === 'failed' ? end.problem : undefined;
       expect(problem?.kind).to.equal(ProblemKind.QUARANTINED);
       expect(problem?.ran).to.equal(Ran.UNKNOWN);
     });
 
-    it('is refused as not run when it is asked for again', async () => {
-      await run(ENDING);
-      const end = await run(ENDING);
+    it('is refused as not run when it is requested again', async () => {
+      await run(LETHAL_PROMPT);
+      const end = await run(LETHAL_PROMPT);
       const problem = end?.kind === 'failed' ? end.problem : undefined;
       expect(problem?.ran).to.equal(Ran.NO);
       expect(servers.ends).to.have.length(3);
     });
 
-    it('does not keep others from the engines that are left', async () => {
-      await run(ENDING);
+    it('does not block other generations from the remaining engines', async () => {
+      await run(LETHAL_PROMPT);
       expect((await run('another'))?.kind).to.equal('finished');
     });
   });
