--- a/src/rollout/active_rollout.ts
+++ b/src/rollout/active_rollout.ts
@@ -5,55 +5,55 @@
   VersionCounts,
 } from './version_counts.js';
 
-/** Counts as they stood at one moment. */
+/** Counts at one point in time. */
 interface Snapshot {
   readonly atMs: number;
   readonly counts: readonly VersionCounts[];
 }
 
-/** Span of which recent counts are, in milliseconds. */
-const RECENT_MS = 3000;
+/** Length of the window of recent counts, in milliseconds. */
+const RECENT_WINDOW_MS = 3000;
 
-/** A roll-out as the holder of its duty knows it. */
+/** State of a rollout on the host that holds its duty. */
 export class ActiveRollout {
-  /** Share of the requests that go to the new version now. */
+  /** Share of the requests that currently go to the new version. */
   share = 0;
-  /** Why the version was found bad, until that is written; absent before. */
-  condemned: string | undefined;
-  /** Last counts of each start of a host, this one included. */
+  /** Why the version was judged bad; repeated until the rollback is stored. */
+  rollbackReason: string | undefined;
+  /** Last counts of each incarnation of a host, including this one. */
   private readonly counts = new Map<string, readonly VersionCounts[]>();
   private snapshots: Snapshot[] = [];
 
   /**
-   * @param rollout - The roll-out as it is written.
+   * @param rollout - The rollout as stored.
    * @param version - Version of its row.
-   * @param sinceMs - Since when this host holds the duty, monotonic milliseconds.
+   * @param dutySinceMs - Time since which this host drives it, in monotonic milliseconds.
    */
   constructor(
     public rollout: Rollout,
     public version: number,
-    readonly sinceMs: number,
+    readonly dutySinceMs: number,
   ) {}
 
-  /** Takes in what a host has counted since its start; the last word counts. */
+  /** Sets the counts of a host since its start; they replace its earlier ones. */
   setCounts(origin: string, counts: readonly VersionCounts[]): void {
     this.counts.set(origin, counts);
   }
 
-  /** Returns the counts of all hosts, by version and route. */
+  /** Returns the sums of the counts of all hosts, by version and route. */
   sum(): VersionCounts[] {
     return mergeVersionCounts([...this.counts.values()].flat());
   }
 
   /**
-   * Returns what was counted in the last seconds.
-   * @param nowMs - Monotonic milliseconds.
-   * @param counts - What `sum` returns now.
+   * Returns the counts of the recent window; see `RECENT_WINDOW_MS`.
+   * @param nowMs - Monotonic time, in milliseconds.
+   * @param counts - The current result of `sum`.
    */
   sumRecent(nowMs: number, counts: readonly VersionCounts[]): VersionCounts[] {
     this.snapshots.push({atMs: nowMs, counts});
     this.snapshots = this.snapshots.filter(
-      ({atMs}) => nowMs - atMs <= RECENT_MS,
+      ({atMs}) => nowMs - atMs <= RECENT_WINDOW_MS,
     );
     return subtractVersionCounts(counts, this.snapshots[0]?.counts ?? []);
   }
--- a/src/rollout/decide_rollout.ts
+++ b/src/rollout/decide_rollout.ts
@@ -2,147 +2,161 @@
 import {Rollout} from './rollout.js';
 import {sumVersionCounts, VersionCounts} from './version_counts.js';
 
-/** What a bad version may get at most, of all that its service gets. */
+/** Upper bound of the requests that a bad version may receive. */
 export interface ExposureBound {
-  /** Share of the service's requests. */
+  /** Share of the requests of its service. */
   readonly share: number;
-  /** Requests besides. */
+  /** Number of requests in addition to the share. */
   readonly slack: number;
 }
 
-/** What the next step of a roll-out depends on. */
-export interface RolloutQuestion {
+/** Input of the decision about the next step of a rollout. */
+export interface RolloutDecisionInput {
   readonly rollout: Rollout;
-  /** The table's clock, in milliseconds. */
+  /** Current time on the table's clock, in milliseconds. */
   readonly nowMs: number;
-  /** By version and route, over all hosts, since the roll-out began. */
+  /** Counts by version and route, over all hosts, since the rollout began. */
   readonly counts: readonly VersionCounts[];
-  /** The same of the last seconds alone. */
+  /** The same counts for the last seconds only. */
   readonly recent: readonly VersionCounts[];
-  /** Servers of each version that take work. */
+  /** Numbers of servers that accept work, of the previous and of the new version. */
   readonly readyFrom: number;
   readonly readyTo: number;
   readonly bound: ExposureBound;
 }
 
-/** What is to be done. */
+/** Action of a rollout step. */
 export const RolloutAct = {
-  GO_ON: 'go-on',
-  /** Send every request to the new version, from now on. */
+  CONTINUE: 'go-on',
+  /** Send every request to the new version from now on. */
   SHIFT: 'shift',
   COMPLETE: 'complete',
   ROLL_BACK: 'roll-back',
 } as const;
 export type RolloutAct = (typeof RolloutAct)[keyof typeof RolloutAct];
 
-/** The next step of a roll-out. */
+/** The next step of a rollout. */
 export interface RolloutDecision {
   readonly act: RolloutAct;
-  /** Share of the service's requests that go to the new version. */
+  /** Share of the requests of the service that go to the new version. */
   readonly share: number;
   readonly reason: string;
 }
 
-/** Part of the bound that is used while the version is on trial. */
+/** Part of the bound's share that the new version gets during the trial. */
 const TRIAL_SHARE = 0.4;
-/** Part of the bound at which the trial pauses: hosts' counts come late. */
+/** Part of the bound at which the trial pauses, as counts of hosts arrive with a delay. */
 const PAUSE_SHARE = 0.6;
-/** Part of the duration that the trial takes: a version may turn bad late. */
-const TRIAL_SPAN = 0.96;
-/** Answers of the new version without which it cannot be told to be good. */
-const LEAST_ANSWERS = 30;
-/** The same on each route that has had this many times as many of the old one. */
-const LEAST_ON_ROUTE = 5;
+/** Part of the duration that the trial takes, as a version may turn bad late. */
+const TRIAL_DURATION_SHARE = 0.96;
+/** Answers of the new version that are needed before it counts as good. */
+const MIN_ANSWERS = 30;
+/**
+ * Answers of the new version that are needed on each route; fewer where the old version
+ * has had less than `ROUTE_FACTOR` times as many there.
+ */
+const MIN_ANSWERS_ON_ROUTE = 5;
 const ROUTE_FACTOR = 8;
-/** Part of the old version's servers that the new one needs to carry the service. */
-const CARRIES_SHARE = 0.8;
-/** Time for which the new version has to carry it alone, in milliseconds. */
-const ALONE_MS = 2000;
+/** Servers that the new version needs to carry the service, as a share of the old's. */
+const MIN_CAPACITY_SHARE = 0.8;
+/** Time for which the new version has to carry the service alone, in milliseconds. */
+const SOLE_SERVICE_MS = 2000;
 
 /**
- * Decides the next step of a roll-out.
+ * Decides the next step of a rollout.
  *
- * The new version gets a small share of the requests until nearly all of the time for
- * it is over: one that turns bad late has had no more than that. Then it gets all, and
- * the old servers, which stop at once on completion, finish what they run.
+ * The new version gets a small share of the requests for nearly the whole duration, so
+ * that a version that turns bad late has not received more. Then it gets all requests,
+ * while the old servers, which stop at once on completion, finish what they run.
  */
-export function decideRollout(question: RolloutQuestion): RolloutDecision {
+export function decideRollout(question: RolloutDecisionInput): RolloutDecision {
   const {rollout, counts, recent, readyTo} = question;
-  for (const judged of [counts, recent]) {
-    const {isBad, reason} = judgeVersion(judged, rollout.from, rollout.to);
+  for (const judgedCounts of [counts, recent]) {
+    const {isBad, reason} = judgeVersion(
+      judgedCounts,
+      rollout.from,
+      rollout.to,
+    );
     if (isBad) {
       return {act: RolloutAct.ROLL_BACK, share: 0, reason};
     }
   }
   if (readyTo === 0) {
-    const reason = 'no server of the new version takes work';
-    return {act: RolloutAct.GO_ON, share: 0, reason};
+    const reason = 'no server of the new version accepts work';
+    return {act: RolloutAct.CONTINUE, share: 0, reason};
   }
   return rollout.shiftedMs === undefined
     ? decideTrial(question)
-    : decideEnd(question, rollout.shiftedMs);
+    : decideCompletion(question, rollout.shiftedMs);
 }
 
-function decideTrial(question: RolloutQuestion): RolloutDecision {
+function decideTrial(question: RolloutDecisionInput): RolloutDecision {
   const {rollout, nowMs, counts, bound} = question;
   const elapsedMs = nowMs - rollout.startedMs;
   const sentTo = sumVersionCounts(rollout.to, counts).sent;
   const sentFrom = sumVersionCounts(rollout.from, counts).sent;
-  const most =
+  const maxSentTo =
     PAUSE_SHARE * (bound.share * (sentTo + sentFrom) + bound.slack / 2);
   const reason = findReasonToWait(question, elapsedMs);
   if (reason === undefined) {
-    return {act: RolloutAct.SHIFT, share: 1, reason: 'found good'};
+    return {act: RolloutAct.SHIFT, share: 1, reason: 'trial passed'};
   }
-  if (sentTo >= most) {
-    const spent = `${sentTo} of ${sentTo + sentFrom} requests were its share`;
-    return {act: RolloutAct.GO_ON, share: 0, reason: spent};
+  if (sentTo >= maxSentTo) {
+    const pauseReason = `${sentTo} of ${sentTo + sentFrom} requests sent: share used up`;
+    return {act: RolloutAct.CONTINUE, share: 0, reason: pauseReason};
   }
-  return {act: RolloutAct.GO_ON, share: TRIAL_SHARE * bound.share, reason};
+  return {act: RolloutAct.CONTINUE, share: TRIAL_SHARE * bound.share, reason};
 }
 
-/** Says why the new version does not get all requests yet. */
+/** Returns why the new version does not get all requests yet; `undefined` if it may. */
 function findReasonToWait(
-  {rollout, counts, readyFrom, readyTo}: RolloutQuestion,
+  {rollout, counts, readyFrom, readyTo}: RolloutDecisionInput,
   elapsedMs: number,
 ): string | undefined {
-  if (elapsedMs < rollout.durationMs * TRIAL_SPAN) {
+  if (elapsedMs < rollout.durationMs * TRIAL_DURATION_SHARE) {
     return 'on trial';
   }
-  if (readyTo < readyFrom * CARRIES_SHARE) {
-    return `${readyTo} servers beside ${readyFrom}`;
+  if (readyTo < readyFrom * MIN_CAPACITY_SHARE) {
+    return `${readyTo} servers accept work, ${readyFrom} of the old version`;
   }
   const {answers} = sumVersionCounts(rollout.to, counts);
-  if (answers < LEAST_ANSWERS) {
-    return `${answers} answers`;
+  if (answers < MIN_ANSWERS) {
+    return `only ${answers} answers of the new version`;
   }
-  for (const old of counts) {
-    if (old.version !== rollout.from) {
+  for (const oldCounts of counts) {
+    if (oldCounts.version !== rollout.from) {
       continue;
     }
-    const own = counts.find(
-      ({version, route}) => version === rollout.to && route === old.route,
+    const newCounts = counts.find(
+      ({version, route}) => version === rollout.to && route === oldCounts.route,
+    );
+    const minAnswers = Math.min(
+      MIN_ANSWERS_ON_ROUTE,
+      oldCounts.answers / ROUTE_FACTOR,
     );
-    const least = Math.min(LEAST_ON_ROUTE, old.answers / ROUTE_FACTOR);
-    if ((own?.answers ?? 0) < least) {
-      return `${own?.answers ?? 0} answers on route ${old.route}`;
+    if ((newCounts?.answers ?? 0) < minAnswers) {
+      return `only ${newCounts?.answers ?? 0} answers of the new version on route ${oldCounts.route}`;
     }
   }
   return undefined;
 }
 
-function decideEnd(
-  {rollout, nowMs, counts, readyFrom, readyTo}: RolloutQuestion,
+function decideCompletion(
+  {rollout, nowMs, counts, readyFrom, readyTo}: RolloutDecisionInput,
   shiftedMs: number,
 ): RolloutDecision {
   const {running} = sumVersionCounts(rollout.from, counts);
-  if (readyTo < readyFrom * CARRIES_SHARE) {
-    const reason = `${readyTo} servers beside ${readyFrom}`;
-    return {act: RolloutAct.GO_ON, share: TRIAL_SHARE / 10, reason};
+  if (readyTo < readyFrom * MIN_CAPACITY_SHARE) {
+    const reason = `${readyTo} servers accept work, ${readyFrom} of the old version`;
+    return {act: RolloutAct.CONTINUE, share: TRIAL_SHARE / 10, reason};
   }
-  if (nowMs - shiftedMs < ALONE_MS || running > 0) {
-    const reason = `${running} requests run at old servers`;
-    return {act: RolloutAct.GO_ON, share: 1, reason};
+  if (nowMs - shiftedMs < SOLE_SERVICE_MS || running > 0) {
+    const reason = `${running} requests running on servers of the old version`;
+    return {act: RolloutAct.CONTINUE, share: 1, reason};
   }
-  return {act: RolloutAct.COMPLETE, share: 1, reason: 'carries the service'};
+  return {
+    act: RolloutAct.COMPLETE,
+    share: 1,
+    reason: 'new version carries the service',
+  };
 }
--- a/src/rollout/index.ts
+++ b/src/rollout/index.ts
@@ -1,9 +1,9 @@
-/** Roll-outs: a service's requests moved to servers of another version, step by step. */
+/** Rollouts: move a service's requests to servers of another version step by step. */
 export {decideRollout, RolloutAct} from './decide_rollout.js';
 export type {
   ExposureBound,
   RolloutDecision,
-  RolloutQuestion,
+  RolloutDecisionInput,
 } from './decide_rollout.js';
 export {judgeVersion} from './judge_version.js';
 export type {VersionVerdict} from './judge_version.js';
--- a/src/rollout/judge_version.ts
+++ b/src/rollout/judge_version.ts
@@ -1,37 +1,38 @@
 import {sumVersionCounts, VersionCounts} from './version_counts.js';
 
-/** What the answers of a version say of it. */
+/** Verdict on a version by its answers. */
 export interface VersionVerdict {
   readonly isBad: boolean;
-  /** What speaks against it, for the log; empty where nothing does. */
+  /** Why the version is bad, for the log; empty if it is not. */
   readonly reason: string;
 }
 
-const INNOCENT: VersionVerdict = {isBad: false, reason: ''};
-/** Bad answers below which nothing is said of a version. */
-const LEAST_BAD = 4;
-/** Good answers below which nothing is said of how long they take. */
-const LEAST_TIMED = 10;
+const NOT_BAD: VersionVerdict = {isBad: false, reason: ''};
+/** Bad answers below which a version is not judged bad by their number. */
+const MIN_BAD_ANSWERS = 4;
+/** Good answers, of either version, below which times are not compared. */
+const MIN_TIMED_ANSWERS = 10;
 /**
- * Standard deviations by which bad answers have to exceed those of the version beside
- * it: chance makes that of a good one once in tens of thousands of looks.
+ * Standard deviations by which the bad answers of a version have to exceed those expected
+ * from the other version. By chance, a good version exceeds this limit once in tens of
+ * thousands of checks.
  */
-const DEVIATIONS = 4;
-/** Bad answers assumed of the version beside it that it has not had yet. */
-const PRIOR_BAD = 1;
+const MIN_DEVIATIONS = 4;
+/** Bad answers, and answers in all, added to those of the other version as a prior. */
+const PRIOR_BAD_ANSWERS = 1;
 const PRIOR_ANSWERS = 20;
-/** How many times as long its answers have to take. */
+/** Factor by which the mean time of its answers has to exceed that of the other version. */
 const SLOW_FACTOR = 2;
-/** Milliseconds that they have to take longer besides. */
+/** Milliseconds by which the mean time has to exceed it in addition. */
 const SLOW_MS = 15;
 
 /**
- * Judges a version by its answers against those of the version beside it, in all and by
- * route: what troubles both, such as an overload or servers that fail at random, speaks
- * against neither.
- * @param counts - By version and route, over all hosts.
- * @param from - Version that served before.
- * @param to - Version that is judged.
+ * Judges a version by comparing its answers with those of the previous version, in total
+ * and by route. Faults that affect both, such as an overload or servers that fail at
+ * random, count against neither.
+ * @param counts - Counts by version and route, over all hosts.
+ * @param from - Previous version.
+ * @param to - Version to judge.
  */
 export function judgeVersion(
   counts: readonly VersionCounts[],
@@ -46,58 +47,58 @@
   if (whole.isBad) {
     return whole;
   }
-  for (const own of counts) {
-    if (own.version !== to) {
+  for (const judged of counts) {
+    if (judged.version !== to) {
       continue;
     }
-    const beside = counts.find(
-      ({version, route}) => version === from && route === own.route,
+    const baseline = counts.find(
+      ({version, route}) => version === from && route === judged.route,
     );
-    const verdict = judgePair(own, beside, `route ${own.route}`);
+    const verdict = judgePair(judged, baseline, `route ${judged.route}`);
     if (verdict.isBad) {
       return verdict;
     }
   }
-  return INNOCENT;
+  return NOT_BAD;
 }
 
 function judgePair(
-  own: VersionCounts,
-  beside: VersionCounts | undefined,
+  judged: VersionCounts,
+  baseline: VersionCounts | undefined,
   where: string,
 ): VersionVerdict {
-  const answers = beside?.answers ?? 0;
-  const bad = beside?.bad ?? 0;
-  const share = (bad + PRIOR_BAD) / (answers + PRIOR_ANSWERS);
-  const expected = own.answers * share;
-  const deviation = Math.sqrt(own.answers * share * (1 - share));
+  const answers = baseline?.answers ?? 0;
+  const bad = baseline?.bad ?? 0;
+  const share = (bad + PRIOR_BAD_ANSWERS) / (answers + PRIOR_ANSWERS);
+  const expected = judged.answers * share;
+  const deviation = Math.sqrt(judged.answers * share * (1 - share));
   if (
-    own.bad >= LEAST_BAD &&
-    own.bad > expected + DEVIATIONS * Math.max(deviation, 0.5)
+    judged.bad >= MIN_BAD_ANSWERS &&
+    judged.bad > expected + MIN_DEVIATIONS * Math.max(deviation, 0.5)
   ) {
-    const reason = `${own.bad} of ${own.answers} bad on ${where}, ${bad} of ${answers} beside`;
+    const reason = `${judged.bad} of ${judged.answers} bad on ${where}, ${bad} of ${answers} of the old version`;
     return {isBad: true, reason};
   }
-  return beside === undefined ? INNOCENT : judgeTimes(own, beside, where);
+  return baseline === undefined ? NOT_BAD : judgeTimes(judged, baseline, where);
 }
 
 function judgeTimes(
-  own: VersionCounts,
-  beside: VersionCounts,
+  judged: VersionCounts,
+  baseline: VersionCounts,
   where: string,
 ): VersionVerdict {
-  const ownGood = own.answers - own.bad;
-  const besideGood = beside.answers - beside.bad;
-  if (ownGood < LEAST_TIMED || besideGood < LEAST_TIMED) {
-    return INNOCENT;
+  const judgedGood = judged.answers - judged.bad;
+  const baselineGood = baseline.answers - baseline.bad;
+  if (judgedGood < MIN_TIMED_ANSWERS || baselineGood < MIN_TIMED_ANSWERS) {
+    return NOT_BAD;
   }
   for (const time of ['firstMs', 'wholeMs'] as const) {
-    const ownMs = own[time] / ownGood;
-    const besideMs = beside[time] / besideGood;
-    if (ownMs > besideMs * SLOW_FACTOR + SLOW_MS) {
-      const reason = `${time} ${ownMs.toFixed(0)} on ${where}, ${besideMs.toFixed(0)} beside`;
+    const judgedMs = judged[time] / judgedGood;
+    const baselineMs = baseline[time] / baselineGood;
+    if (judgedMs > baselineMs * SLOW_FACTOR + SLOW_MS) {
+      const reason = `${time} ${judgedMs.toFixed(0)} on ${where}, ${baselineMs.toFixed(0)} for the old version`;
       return {isBad: true, reason};
     }
   }
-  return INNOCENT;
+  return NOT_BAD;
 }
--- a/src/rollout/rollout.ts
+++ b/src/rollout/rollout.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** How far a roll-out is, as operators are told. */
+/** State of a rollout as reported to operators. */
 export const RolloutState = {
   RUNNING: 'running',
   COMPLETED: 'completed',
@@ -8,18 +8,18 @@
 } as const;
 export type RolloutState = (typeof RolloutState)[keyof typeof RolloutState];
 
-/** A roll-out as the table keeps it. */
+/** A rollout as stored in the table. */
 export const rolloutSchema = z.object({
   service: z.string().min(1),
   /** Number of the order; see `RolloutOrder`. */
   order: z.number().int().min(0),
-  /** Version that served before. */
+  /** Version that serves before the rollout. */
   from: z.string(),
   to: z.string().min(1),
   durationMs: z.number().positive(),
-  /** When it was begun, on the table's clock, in milliseconds. */
+  /** Start time on the table's clock, in milliseconds. */
   startedMs: z.number(),
-  /** When all requests went to the new version; absent before. */
+  /** Time from which all requests go to the new version; absent before. */
   shiftedMs: z.number().optional(),
   state: z.enum([
     RolloutState.RUNNING,
@@ -28,10 +28,10 @@
   ]),
 });
 
-/** A roll-out as the table keeps it. */
+/** A rollout as stored in the table. */
 export type Rollout = z.output<typeof rolloutSchema>;
 
-/** Tells whether nothing more changes in a roll-out. */
+/** Returns whether a rollout has ended and does not change any more. */
 export function isFinal({state}: {readonly state: RolloutState}): boolean {
   return state !== RolloutState.RUNNING;
 }
--- a/src/rollout/rollout_client.ts
+++ b/src/rollout/rollout_client.ts
@@ -12,7 +12,7 @@
 import {RolloutWords} from './rollout_words.js';
 import {VersionLedger} from './version_ledger.js';
 
-/** What the client works with. */
+/** Options of the client. */
 export interface RolloutClientOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -21,9 +21,9 @@
   readonly ledger: VersionLedger;
   /** Name of this host. */
   readonly host: string;
-  /** Answers as holder of the duty, where this host is it. */
+  /** Handles a report on this host; the reply says whether it holds the duty. */
   readonly answerHere: (question: RolloutQuestionMessage) => RolloutAnswer;
-  /** Finds the host that holds the duty; nothing where it cannot be told. */
+  /** Finds the host that holds the duty; `undefined` if it cannot be determined. */
   readonly findHolder: () => Promise<string | undefined>;
   readonly requestPeer: (
     host: string,
@@ -32,52 +32,55 @@
   ) => Promise<Result<unknown, Error>>;
 }
 
-/** Pause between questions, in milliseconds: word of the holder is fresh for 2 s. */
-const ASK_MS = 400;
-const ANSWER_MS = 800;
-/** Pause between looks for an order while there is none, in milliseconds. */
-const IDLE_MS = 1000;
-/** Pause between looks for the holder, in milliseconds: each is a call to the table. */
-const LOOK_MS = 1000;
+/** Pause between reports, in milliseconds; a directive of the holder expires after 2 s. */
+const REPORT_INTERVAL_MS = 400;
+const REPLY_TIMEOUT_MS = 800;
+/** Pause between checks for an order while there is none, in milliseconds. */
+const IDLE_INTERVAL_MS = 1000;
+/** Shortest pause between look-ups of the holder, in ms; each is a call to the table. */
+const HOLDER_LOOKUP_INTERVAL_MS = 1000;
 
 /**
- * Tells the holder of the duty what this host counted in each roll-out, and hears from
- * it what to do. Nothing is asked while no roll-out runs.
+ * Reports the counts of this host in each rollout to the holder of the duty and receives
+ * its directives. Sends nothing while there is no running rollout.
  */
 export class RolloutClient {
   private holder: string | undefined;
-  private lookedMs = Number.NEGATIVE_INFINITY;
-  /** Orders from whose beginning this host counts. */
-  private readonly begun = new Set<number>();
+  private lastLookupMs = Number.NEGATIVE_INFINITY;
+  /** Numbers of the orders for which this host has started to count. */
+  private readonly countedOrders = new Set<number>();
 
   constructor(private readonly options: RolloutClientOptions) {}
 
-  /** Works until aborted. */
+  /** Runs until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.step();
       const isIdle = this.options.orders.list().length === 0;
-      await this.options.clock.sleep(isIdle ? IDLE_MS : ASK_MS, signal);
+      await this.options.clock.sleep(
+        isIdle ? IDLE_INTERVAL_MS : REPORT_INTERVAL_MS,
+        signal,
+      );
     }
   }
 
-  /** Asks once about each roll-out that has not ended. */
+  /** Sends one report for each rollout that has not ended. */
   async step(): Promise<void> {
     const {orders, words, ledger} = this.options;
     for (const order of orders.list()) {
       const {service, number} = order;
-      if (!this.begun.has(number)) {
-        this.begun.add(number);
+      if (!this.countedOrders.has(number)) {
+        this.countedOrders.add(number);
         ledger.startAnew(service);
       }
-      const word = words.get(service, number);
-      if (word === undefined || !isFinal(word)) {
-        await this.ask(order);
+      const directive = words.get(service, number);
+      if (directive === undefined || !isFinal(directive)) {
+        await this.report(order);
       }
     }
   }
 
-  private async ask({service, number}: RolloutOrder): Promise<void> {
+  private async report({service, number}: RolloutOrder): Promise<void> {
     const {ledger, words, answerHere} = this.options;
     const question: RolloutQuestionMessage = {
       kind: 'rollout',
@@ -85,14 +88,16 @@
       order: number,
       counts: ledger.list(service),
     };
-    const own = answerHere(question);
-    const answer = own.isHolder ? own : await this.askHolder(question);
-    if (answer?.word !== undefined) {
-      words.add(answer.word);
+    const localReply = answerHere(question);
+    const reply = localReply.isHolder
+      ? localReply
+      : await this.reportToHolder(question);
+    if (reply?.word !== undefined) {
+      words.add(reply.word);
     }
   }
 
-  private async askHolder(
+  private async reportToHolder(
     question: RolloutQuestionMessage,
   ): Promise<RolloutAnswer | undefined> {
     const holder = await this.getHolder();
@@ -101,7 +106,7 @@
       return undefined;
     }
     const {requestPeer} = this.options;
-    const reply = await requestPeer(holder, question, ANSWER_MS);
+    const reply = await requestPeer(holder, question, REPLY_TIMEOUT_MS);
     const answer = rolloutAnswerSchema.safeParse(reply.unwrapOr(undefined));
     if (!answer.success || !answer.data.isHolder) {
       this.holder = undefined;
@@ -112,8 +117,11 @@
   private async getHolder(): Promise<string | undefined> {
     const {clock, findHolder} = this.options;
     const nowMs = clock.monotonicMs();
-    if (this.holder === undefined && nowMs - this.lookedMs >= LOOK_MS) {
-      this.lookedMs = nowMs;
+    if (
+      this.holder === undefined &&
+      nowMs - this.lastLookupMs >= HOLDER_LOOKUP_INTERVAL_MS
+    ) {
+      this.lastLookupMs = nowMs;
       this.holder = await findHolder();
     }
     return this.holder;
--- a/src/rollout/rollout_driver.ts
+++ b/src/rollout/rollout_driver.ts
@@ -18,60 +18,63 @@
   RolloutWord,
 } from './rollout_word.js';
 import {sumVersionCounts, VersionCounts} from './version_counts.js';
-import {findUsualVersion} from './version_gate.js';
+import {findMajorityVersion} from './version_gate.js';
 import {VersionLedger} from './version_ledger.js';
 
-/** What the driver works with. */
+/** Options of the driver. */
 export interface RolloutDriverOptions {
   readonly clock: Clock;
   readonly log: Log;
-  /** Returns the fence under which this host may act now; nothing where it may not. */
+  /** Returns the fence under which this host holds the duty; `undefined` without it. */
   readonly getFence: () => number | undefined;
   readonly orders: RolloutOrders;
   readonly store: RolloutStore;
   readonly ledger: VersionLedger;
-  /** Host and start of this process. */
+  /** Host name and incarnation of this process. */
   readonly origin: string;
   readonly hasService: (service: string) => boolean;
-  /** Counts the servers of a service that take work, by version. */
+  /** Counts the servers of a service that accept work, by version. */
   readonly countReady: (service: string) => ReadonlyMap<string, number>;
-  /** Returns the table's clock; nothing before it is known. */
+  /** Returns the time of the table's clock, in ms; `undefined` until it is known. */
   readonly getTableMs: () => number | undefined;
   readonly getBound: () => ExposureBound;
 }
 
-const STEP_MS = 250;
-/** Pause between looks for an order while there is none, in milliseconds. */
-const IDLE_MS = 1000;
-/** Time in which a new holder hears every host's counts before it goes on, in ms. */
-const LEARN_MS = 1500;
+const STEP_INTERVAL_MS = 250;
+/** Pause between checks for an order while there is none, in milliseconds. */
+const IDLE_INTERVAL_MS = 1000;
+/** Time for which a new holder collects the counts of all hosts before it acts, in ms. */
+const COLLECT_COUNTS_MS = 1500;
 
 /**
- * Leads roll-outs to their end, as holder of the duties: sums what all hosts counted,
- * decides each step, writes it, and tells the hosts that ask.
+ * Drives rollouts to their end while this host holds the duty: sums the counts of all
+ * hosts, decides and stores each step, and sends directives to the hosts that report.
  */
 export class RolloutDriver {
   private readonly active = new Map<string, ActiveRollout>();
-  /** Orders that are not followed, by number; each is logged once. */
+  /** Numbers of the orders that are ignored; each is logged once. */
   private readonly ignored = new Set<number>();
   private fence: number | undefined;
 
   constructor(private readonly options: RolloutDriverOptions) {}
 
-  /** Works until aborted. */
+  /** Runs until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const isIdle = this.options.orders.list().length === 0;
-      await this.options.clock.sleep(isIdle ? IDLE_MS : STEP_MS, signal);
+      await this.options.clock.sleep(
+        isIdle ? IDLE_INTERVAL_MS : STEP_INTERVAL_MS,
+        signal,
+      );
       await this.step();
     }
   }
 
-  /** Makes the next step of each roll-out, where this host may. */
+  /** Makes the next step of each rollout, if this host holds the duty. */
   async step(): Promise<void> {
     const fence = this.options.getFence();
     if (fence !== this.fence) {
-      // What was known under another fence may have gone on without this host.
+      // Rollouts known under another fence may have advanced without this host.
       this.active.clear();
       this.fence = fence;
     }
@@ -87,9 +90,10 @@
   }
 
   /**
-   * Answers a host that tells what it counted.
-   * @param question - What it tells.
-   * @param origin - The host, and its start.
+   * Handles the report of a host.
+   * @param question - The report.
+   * @param origin - Name and incarnation of the host.
+   * @returns The directive for the host, if this host holds the duty and has one.
    */
   answer(question: RolloutQuestionMessage, origin: string): RolloutAnswer {
     const fence = this.options.getFence();
@@ -102,7 +106,7 @@
       return {isHolder: true};
     }
     active.setCounts(origin, question.counts);
-    return {isHolder: true, word: createWord(active, fence)};
+    return {isHolder: true, word: createDirective(active, fence)};
   }
 
   private async getActive(
@@ -123,7 +127,7 @@
     return active;
   }
 
-  /** Reads how far the roll-out of an order is, or begins it. */
+  /** Reads the stored rollout of an order, or begins it. */
   private async load(order: RolloutOrder): Promise<StoredRollout | undefined> {
     const {store, hasService, countReady} = this.options;
     if (this.ignored.has(order.number)) {
@@ -132,7 +136,7 @@
     if (!hasService(order.service)) {
       return this.ignore(
         order,
-        'no such service; name one of the configuration',
+        'no such service; order a rollout of a configured service',
       );
     }
     const read = await store.read(order.service);
@@ -147,11 +151,11 @@
     if (versions.size === 0) {
       return undefined;
     }
-    const from = findFrom(order, stored, versions);
+    const from = findPreviousVersion(order, stored, versions);
     if (from === undefined) {
       return this.ignore(
         order,
-        'the service runs this version already; order another one',
+        'the service already runs this version; order another version',
       );
     }
     return this.begin(order, from, stored?.version ?? 0);
@@ -207,13 +211,20 @@
     const {rollout} = active;
     const nowMs = getTableMs();
     active.setCounts(origin, ledger.list(rollout.service));
-    const hasLearnt = clock.monotonicMs() - active.sinceMs >= LEARN_MS;
-    if (nowMs === undefined || (!hasLearnt && active.condemned === undefined)) {
+    const hasCollectedCounts =
+      clock.monotonicMs() - active.dutySinceMs >= COLLECT_COUNTS_MS;
+    if (
+      nowMs === undefined ||
+      (!hasCollectedCounts && active.rollbackReason === undefined)
+    ) {
       return;
     }
     const counts = active.sum();
     const decision = this.decide(active, counts, nowMs);
-    if (decision.share !== active.share || decision.act !== RolloutAct.GO_ON) {
+    if (
+      decision.share !== active.share ||
+      decision.act !== RolloutAct.CONTINUE
+    ) {
       this.logStep(active, decision, counts);
     }
     await this.act(active, decision, nowMs);
@@ -224,9 +235,9 @@
     counts: readonly VersionCounts[],
     nowMs: number,
   ): RolloutDecision {
-    const {rollout, condemned} = active;
-    if (condemned !== undefined) {
-      return {act: RolloutAct.ROLL_BACK, share: 0, reason: condemned};
+    const {rollout, rollbackReason} = active;
+    if (rollbackReason !== undefined) {
+      return {act: RolloutAct.ROLL_BACK, share: 0, reason: rollbackReason};
     }
     const {clock, countReady, getBound} = this.options;
     const ready = countReady(rollout.service);
@@ -247,7 +258,7 @@
     nowMs: number,
   ): Promise<void> {
     switch (act) {
-      case RolloutAct.GO_ON:
+      case RolloutAct.CONTINUE:
         active.share = share;
         return;
       case RolloutAct.SHIFT:
@@ -257,15 +268,15 @@
         await this.write(active, {state: RolloutState.COMPLETED});
         return;
       case RolloutAct.ROLL_BACK:
-        // Hosts stop at once, whether or not it can be written now.
+        // Hosts stop using the version at once, even if this cannot be stored now.
         active.share = 0;
-        active.condemned = reason;
+        active.rollbackReason = reason;
         await this.write(active, {state: RolloutState.ROLLED_BACK});
         return;
     }
   }
 
-  /** Writes a step; what cannot be written now is decided anew. */
+  /** Stores a step; one that cannot be stored now is decided again later. */
   private async write(
     active: ActiveRollout,
     change: Partial<Rollout>,
@@ -282,12 +293,12 @@
       return;
     }
     if (written.error.kind !== TableFailureKind.UNREACHED) {
-      await this.readAgain(active);
+      await this.reload(active);
     }
   }
 
-  /** Takes in what stands in the table, after a write whose end is in doubt. */
-  private async readAgain(active: ActiveRollout): Promise<void> {
+  /** Reads the stored state again after a write that was rejected or has an unknown result. */
+  private async reload(active: ActiveRollout): Promise<void> {
     const read = await this.options.store.read(active.rollout.service);
     const stored = read.unwrapOr(undefined);
     if (stored?.rollout.order === active.rollout.order) {
@@ -301,8 +312,8 @@
     {act, share, reason}: RolloutDecision,
     counts: readonly VersionCounts[],
   ): void {
-    const own = sumVersionCounts(rollout.to, counts);
-    const beside = sumVersionCounts(rollout.from, counts);
+    const newCounts = sumVersionCounts(rollout.to, counts);
+    const oldCounts = sumVersionCounts(rollout.from, counts);
     this.options.log.info('rollout_step', {
       service: rollout.service,
       from: rollout.from,
@@ -310,18 +321,21 @@
       act,
       share,
       reason,
-      sent: own.sent,
-      answers: own.answers,
-      bad: own.bad,
-      sent_beside: beside.sent,
-      answers_beside: beside.answers,
-      bad_beside: beside.bad,
+      sent: newCounts.sent,
+      answers: newCounts.answers,
+      bad: newCounts.bad,
+      sent_beside: oldCounts.sent,
+      answers_beside: oldCounts.answers,
+      bad_beside: oldCounts.bad,
     });
   }
 }
 
-/** Returns the version that serves before an order; nothing where that is ordered. */
-function findFrom(
+/**
+ * Returns the version that serves before an order; `undefined` if the service already
+ * runs the ordered version.
+ */
+function findPreviousVersion(
   {to}: RolloutOrder,
   stored: StoredRollout | undefined,
   versions: ReadonlyMap<string, number>,
@@ -332,10 +346,10 @@
     return serving === to ? undefined : serving;
   }
   const others = new Map([...versions].filter(([version]) => version !== to));
-  return others.size === 0 ? undefined : findUsualVersion(others);
+  return others.size === 0 ? undefined : findMajorityVersion(others);
 }
 
-function createWord(
+function createDirective(
   {rollout, share}: ActiveRollout,
   fence: number,
 ): RolloutWord {
--- a/src/rollout/rollout_order.ts
+++ b/src/rollout/rollout_order.ts
@@ -3,8 +3,8 @@
   readonly service: string;
   /** Version to move to. */
   readonly to: string;
-  /** Time in which it is to be done, in milliseconds. */
+  /** Time within which the rollout is to be done, in milliseconds. */
   readonly durationMs: number;
-  /** Tells orders for a service apart; a later one has a higher number. */
+  /** Identifies the order among those for its service; later ones have higher numbers. */
   readonly number: number;
 }
--- a/src/rollout/rollout_store.ts
+++ b/src/rollout/rollout_store.ts
@@ -2,24 +2,24 @@
 import {TableFailure} from '../table/index.js';
 import {Rollout} from './rollout.js';
 
-/** A roll-out, and the version of its row. */
+/** A rollout and the version of its row. */
 export interface StoredRollout {
   readonly rollout: Rollout;
-  /** 0 for none. */
+  /** Version of the row; 0 if it does not exist. */
   readonly version: number;
 }
 
-/** Where roll-outs outlive their holder, and operators are told of them. */
+/** Stores rollouts beyond the lifetime of their holder and reports them to operators. */
 export interface RolloutStore {
-  /** Reads the roll-out of a service; nothing where there is none. */
+  /** Reads the rollout of a service; `undefined` if there is none. */
   read(
     service: string,
   ): Promise<Result<StoredRollout | undefined, TableFailure>>;
   /**
-   * Writes a roll-out, and what operators are told of it, both or neither.
-   * @param rollout - The roll-out.
-   * @param version - Version that its row must have; 0 where it must not exist.
-   * @returns The version that it has now.
+   * Writes a rollout and its report to operators atomically.
+   * @param rollout - The rollout.
+   * @param version - Version that its row must have; 0 if it must not exist.
+   * @returns The new version of the row.
    */
   write(
     rollout: Rollout,
--- a/src/rollout/rollout_word.ts
+++ b/src/rollout/rollout_word.ts
@@ -5,18 +5,18 @@
 const name = z.string().max(200);
 const MAX_COUNTS = 1000;
 
-/** What a host tells whoever holds the duty of a roll-out, and asks for. */
+/** Schema of the report of a host to the holder of the duty, which requests a directive. */
 export const rolloutQuestionSchema = z.object({
   kind: z.literal('rollout'),
   service: name,
-  /** Number of the order that the host knows. */
+  /** Number of the latest order that the host knows for the service. */
   order: z.number().int().min(0),
-  /** What it has counted since its start. */
+  /** Cumulative counts of the host for the service. */
   counts: z.array(versionCountsSchema).max(MAX_COUNTS),
 });
 
-/** What every host is to do in a roll-out, as the holder of the duty says. */
-export const rolloutWordSchema = z.object({
+/** Schema of the directive of the holder of the duty to all hosts in a rollout. */
+export const rolloutDirectiveSchema = z.object({
   service: name,
   order: z.number().int().min(0),
   from: name,
@@ -28,17 +28,17 @@
   ]),
   /** Share of the requests that go to the new version. */
   share: z.number().min(0).max(1),
-  /** Fence of the holder: word of an earlier holder counts no more. */
+  /** Fence of the holder; directives of an earlier holder are no longer valid. */
   fence: z.number().int().min(0),
 });
 
-/** Answer to the question; without a word while there is none. */
+/** Schema of the reply to a report; without a directive while there is none. */
 export const rolloutAnswerSchema = z.object({
-  /** Whether the host asked holds the duty. */
+  /** Whether the replying host holds the duty. */
   isHolder: z.boolean(),
-  word: rolloutWordSchema.optional(),
+  word: rolloutDirectiveSchema.optional(),
 });
 
 export type RolloutQuestionMessage = z.output<typeof rolloutQuestionSchema>;
-export type RolloutWord = z.output<typeof rolloutWordSchema>;
+export type RolloutWord = z.output<typeof rolloutDirectiveSchema>;
 export type RolloutAnswer = z.output<typeof rolloutAnswerSchema>;
--- a/src/rollout/rollout_words.ts
+++ b/src/rollout/rollout_words.ts
@@ -3,22 +3,22 @@
 import {isFinal} from './rollout.js';
 import {RolloutWord} from './rollout_word.js';
 
-/** A word, and when it came. */
-interface HeardWord {
-  readonly word: RolloutWord;
-  readonly heardMs: number;
+/** A directive and the time at which it was received. */
+interface ReceivedDirective {
+  readonly directive: RolloutWord;
+  readonly receivedMs: number;
 }
 
 /**
- * Age at which word of a running roll-out counts no more, in milliseconds: a host that
- * hears nothing sends the new version nothing, so that a holder which is gone need not
- * be told of.
+ * Age above which a directive of a running rollout has expired, in milliseconds. A host
+ * without a recent directive sends nothing to the new version, so that hosts need not be
+ * informed of a holder that has terminated.
  */
-const FRESH_MS = 2000;
+const MAX_AGE_MS = 2000;
 
-/** What this host was told last of each service's roll-out. */
+/** The last directive that this host received for the rollout of each service. */
 export class RolloutWords {
-  private readonly heard = new Map<string, HeardWord>();
+  private readonly lastByService = new Map<string, ReceivedDirective>();
 
   constructor(
     private readonly clock: Clock,
@@ -26,39 +26,39 @@
   ) {}
 
   /**
-   * Takes in a word; one of an earlier order or holder changes nothing, nor does one
-   * that would begin again what has ended.
+   * Adds a directive. Directives of an earlier order or holder are ignored, and so are
+   * those for an order that has already ended.
    */
-  add(word: RolloutWord): void {
-    const known = this.heard.get(word.service)?.word;
-    if (known !== undefined && !isLater(word, known)) {
+  add(directive: RolloutWord): void {
+    const known = this.lastByService.get(directive.service)?.directive;
+    if (known !== undefined && !supersedes(directive, known)) {
       return;
     }
-    if (known?.share !== word.share || known.state !== word.state) {
-      const {service, from, to, state, share, fence} = word;
+    if (known?.share !== directive.share || known.state !== directive.state) {
+      const {service, from, to, state, share, fence} = directive;
       this.log.info('rollout_word', {service, from, to, state, share, fence});
     }
-    const heardMs = this.clock.monotonicMs();
-    this.heard.set(word.service, {word, heardMs});
+    const receivedMs = this.clock.monotonicMs();
+    this.lastByService.set(directive.service, {directive, receivedMs});
   }
 
-  /** Returns the last word of an order, however old. */
+  /** Returns the last directive of an order, whatever its age. */
   get(service: string, order: number): RolloutWord | undefined {
-    const word = this.heard.get(service)?.word;
-    return word?.order === order ? word : undefined;
+    const directive = this.lastByService.get(service)?.directive;
+    return directive?.order === order ? directive : undefined;
   }
 
-  /** Tells whether the last word of a service's roll-out still counts. */
+  /** Returns whether the last directive for a service has not expired. */
   isFresh(service: string): boolean {
-    const heardMs =
-      this.heard.get(service)?.heardMs ?? Number.NEGATIVE_INFINITY;
-    return this.clock.monotonicMs() - heardMs <= FRESH_MS;
+    const receivedMs =
+      this.lastByService.get(service)?.receivedMs ?? Number.NEGATIVE_INFINITY;
+    return this.clock.monotonicMs() - receivedMs <= MAX_AGE_MS;
   }
 }
 
-function isLater(word: RolloutWord, known: RolloutWord): boolean {
-  if (word.order !== known.order) {
-    return word.order > known.order;
+function supersedes(directive: RolloutWord, known: RolloutWord): boolean {
+  if (directive.order !== known.order) {
+    return directive.order > known.order;
   }
-  return !isFinal(known) && word.fence >= known.fence;
+  return !isFinal(known) && directive.fence >= known.fence;
 }
--- a/src/rollout/version_counts.ts
+++ b/src/rollout/version_counts.ts
@@ -3,17 +3,17 @@
 const name = z.string().max(200);
 const count = z.number().min(0);
 
-/** What became of the requests that went to one version on one route, since a start. */
+/** Counts of the requests sent to one version on one route, since a start time. */
 export const versionCountsSchema = z.object({
   version: name,
   route: name,
   /** Requests sent. */
   sent: count,
-  /** Requests under way now. */
+  /** Requests in flight now. */
   running: z.number(),
-  /** Answers that tell of the version, bad ones included. */
+  /** Outcomes that are attributable to the version, including bad ones. */
   answers: count,
-  /** Failures, lost and spoiled answers. */
+  /** Failures, lost and corrupted answers. */
   bad: count,
   /** Sum of the times to the first byte of good answers, in milliseconds. */
   firstMs: count,
@@ -21,10 +21,10 @@
   wholeMs: count,
 });
 
-/** What became of the requests that went to one version on one route, since a start. */
+/** Counts of the requests sent to one version on one route, since a start time. */
 export type VersionCounts = z.output<typeof versionCountsSchema>;
 
-/** Makes counts of nothing. */
+/** Creates counts of zero. */
 export function createVersionCounts(
   version: string,
   route: string,
@@ -41,7 +41,7 @@
   };
 }
 
-/** Sums counts of one version over hosts and routes. */
+/** Sums the counts of one version over hosts and routes. */
 export function sumVersionCounts(
   version: string,
   listed: readonly VersionCounts[],
@@ -74,24 +74,24 @@
 }
 
 /**
- * Returns what was counted since an earlier moment.
+ * Returns the counts since an earlier time; `running` stays the current number.
  * @param now - Counts by version and route.
- * @param before - The same, earlier.
+ * @param before - The same counts at the earlier time.
  */
 export function subtractVersionCounts(
   now: readonly VersionCounts[],
   before: readonly VersionCounts[],
 ): VersionCounts[] {
   return now.map(counts => {
-    const left = {...counts};
+    const difference = {...counts};
     const earlier = before.find(
       ({version, route}) =>
         version === counts.version && route === counts.route,
     );
     if (earlier !== undefined) {
-      addVersionCounts(left, {...earlier, running: 0}, -1);
+      addVersionCounts(difference, {...earlier, running: 0}, -1);
     }
-    return left;
+    return difference;
   });
 }
 
--- a/src/rollout/version_gate.ts
+++ b/src/rollout/version_gate.ts
@@ -7,87 +7,90 @@
 import {RolloutWord} from './rollout_word.js';
 import {RolloutWords} from './rollout_words.js';
 
-/** Tells whether a server may get a request. */
+/** Returns whether a server may receive a request. */
 export type AllowsServer = (server: FleetServer) => boolean;
 
-/** What the gate works with. */
+/** Options of the version selection. */
 export interface VersionGateOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly orders: RolloutOrders;
   readonly words: RolloutWords;
-  /** Counts the servers of a service that take work, by version. */
+  /** Counts the servers of a service that accept work, by version. */
   readonly countReady: (service: string) => ReadonlyMap<string, number>;
 }
 
-/** Time for which the versions that are there are not counted anew, in ms. */
-const COUNTED_MS = 100;
+/** Time for which counted versions are reused, in milliseconds. */
+const COUNT_INTERVAL_MS = 100;
 /**
- * Time without any word after which a host whose service has servers of the ordered
- * version only sends there, in milliseconds: the old ones are gone, so the roll-out
- * ended well before this host started.
+ * Time without a directive after which a host uses the ordered version if all servers of
+ * the service have it, in milliseconds. The old servers are gone by then, so the rollout
+ * completed before this host started.
  */
-const LEFT_ALONE_MS = 5000;
+const MAX_WAIT_FOR_DIRECTIVE_MS = 5000;
 
-/** The versions that take work, as counted at one moment. */
+/** The versions whose servers accept work, as counted at one time. */
 interface CountedVersions {
   readonly countedMs: number;
-  /** That with most servers. */
-  readonly usual: string;
+  /** The version with the most servers. */
+  readonly majority: string;
   readonly versions: ReadonlyMap<string, number>;
 }
 
-/** Decides which versions of a service may get a request. */
+/** Selects the version of a service that may receive a request. */
 export class VersionGate {
   private readonly counted = new Map<string, CountedVersions>();
-  /** Since when an order is known without any word of it, monotonic ms. */
-  private readonly unheardMs = new Map<number, number>();
+  /** Time since which an order is known without a directive, by number, monotonic ms. */
+  private readonly waitingSinceMs = new Map<number, number>();
 
   constructor(private readonly options: VersionGateOptions) {}
 
   /**
-   * Draws the version for one sending of a request.
+   * Selects the version for one attempt at a request, at random during a trial.
    * @param service - The service.
-   * @param isFirst - Whether it is the first sending: what failed is sent to the
-   *   version that served before.
-   * @returns What tells which servers may get it; nothing where all may.
+   * @param isFirst - Whether it is the first attempt; during a trial, later ones go to
+   *   the previous version.
+   * @returns A predicate of the servers that may receive it; `undefined` if all may.
    */
   draw(service: string, isFirst: boolean): AllowsServer | undefined {
     const order = this.options.orders.get(service);
-    const {versions, usual} = this.count(service);
+    const {versions, majority} = this.count(service);
     if (order === undefined) {
-      // Servers of a version that no order has named may not be used yet.
-      return versions.size === 0 ? undefined : hasVersion(usual);
+      // Servers of a version that no order names must not be used yet.
+      return versions.size === 0 ? undefined : hasVersion(majority);
     }
-    const word = this.options.words.get(service, order.number);
-    if (word === undefined) {
-      return this.drawUnheard(order, versions);
+    const directive = this.options.words.get(service, order.number);
+    if (directive === undefined) {
+      return this.selectWithoutDirective(order, versions);
     }
-    return this.drawByWord(word, isFirst);
+    return this.selectByDirective(directive, isFirst);
   }
 
-  private drawByWord(word: RolloutWord, isFirst: boolean): AllowsServer {
+  private selectByDirective(
+    directive: RolloutWord,
+    isFirst: boolean,
+  ): AllowsServer {
     const {words, random} = this.options;
-    const {state, share, from, to, service} = word;
+    const {state, share, from, to, service} = directive;
     if (state === RolloutState.COMPLETED) {
       return hasVersion(to);
     }
     if (state === RolloutState.ROLLED_BACK || !words.isFresh(service)) {
       return hasVersion(from);
     }
-    const isTried = share >= 1 || (isFirst && random.next() < share);
-    return hasVersion(isTried ? to : from);
+    const usesNewVersion = share >= 1 || (isFirst && random.next() < share);
+    return hasVersion(usesNewVersion ? to : from);
   }
 
-  private drawUnheard(
+  private selectWithoutDirective(
     {to, number}: RolloutOrder,
     versions: ReadonlyMap<string, number>,
   ): AllowsServer {
     const nowMs = this.options.clock.monotonicMs();
-    const sinceMs = this.unheardMs.get(number) ?? nowMs;
-    this.unheardMs.set(number, sinceMs);
+    const sinceMs = this.waitingSinceMs.get(number) ?? nowMs;
+    this.waitingSinceMs.set(number, sinceMs);
     const isOnly = versions.size === 1 && versions.has(to);
-    if (isOnly && nowMs - sinceMs > LEFT_ALONE_MS) {
+    if (isOnly && nowMs - sinceMs > MAX_WAIT_FOR_DIRECTIVE_MS) {
       return hasVersion(to);
     }
     return server => (server.version ?? '') !== to;
@@ -96,30 +99,30 @@
   private count(service: string): CountedVersions {
     const nowMs = this.options.clock.monotonicMs();
     const known = this.counted.get(service);
-    if (known !== undefined && nowMs - known.countedMs < COUNTED_MS) {
+    if (known !== undefined && nowMs - known.countedMs < COUNT_INTERVAL_MS) {
       return known;
     }
     const versions = this.options.countReady(service);
-    const usual = findUsualVersion(versions);
-    const counted = {countedMs: nowMs, versions, usual};
+    const majority = findMajorityVersion(versions);
+    const counted = {countedMs: nowMs, versions, majority};
     this.counted.set(service, counted);
     return counted;
   }
 }
 
-/** Returns the version with most servers; of several, the first by name. */
-export function findUsualVersion(
+/** Returns the version with the most servers; among several, the first by name. */
+export function findMajorityVersion(
   versions: ReadonlyMap<string, number>,
 ): string {
-  let usual = '';
+  let majority = '';
   let most = 0;
   for (const [version, count] of versions) {
-    if (count > most || (count === most && version < usual)) {
-      usual = version;
+    if (count > most || (count === most && version < majority)) {
+      majority = version;
       most = count;
     }
   }
-  return usual;
+  return majority;
 }
 
 function hasVersion(version: string): AllowsServer {
--- a/src/rollout/version_ledger.ts
+++ b/src/rollout/version_ledger.ts
@@ -1,32 +1,34 @@
 import {createVersionCounts, VersionCounts} from './version_counts.js';
 
-/** What became of a request, as far as it tells of the version that ran it. */
+/** Outcome of a request as far as it is attributable to the version that ran it. */
 export const VersionEnd = {
   GOOD: 'good',
   BAD: 'bad',
-  /** The caller left, or the server had no room. */
+  /** The caller disconnected, or the server had no capacity. */
   NEUTRAL: 'neutral',
 } as const;
 export type VersionEnd = (typeof VersionEnd)[keyof typeof VersionEnd];
 
-/** A request under way at a server of some version; ended once. */
+/** A request in flight at a server of some version; only the first `finish` counts. */
 export interface VersionRun {
   /**
-   * @param end - What became of it.
+   * Records the outcome of the request.
+   * @param end - The outcome.
    * @param firstMs - Time to the first byte of a good answer, in milliseconds.
-   * @param wholeMs - Time to its end, in milliseconds.
+   * @param wholeMs - Time to the end of a good answer, in milliseconds.
    */
   finish(end: VersionEnd, firstMs?: number, wholeMs?: number): void;
 }
 
 /**
- * Counts what became of requests by service, version and route, at this host since its
- * start: sums that only grow, so that what is told twice counts once.
+ * Counts the outcomes of requests by service, version and route on this host, since its
+ * start or since a rollout began. Hosts report cumulative sums, so that a report that is
+ * received twice counts once.
  */
 export class VersionLedger {
   private readonly services = new Map<string, Map<string, VersionCounts>>();
 
-  /** Notes that a request is sent to a server. */
+  /** Records that a request is sent to a server. */
   begin(service: string, version: string, route: string): VersionRun {
     const counts = this.get(service, version, route);
     counts.sent++;
@@ -39,12 +41,12 @@
         }
         isOver = true;
         counts.running--;
-        addEnd(counts, end, firstMs, wholeMs);
+        addOutcome(counts, end, firstMs, wholeMs);
       },
     };
   }
 
-  /** Counts a service from nothing, since a roll-out begins. */
+  /** Resets the counts of a service when a rollout begins. */
   startAnew(service: string): void {
     this.services.delete(service);
   }
@@ -67,7 +69,7 @@
   }
 }
 
-function addEnd(
+function addOutcome(
   counts: VersionCounts,
   end: VersionEnd,
   firstMs: number,
--- a/test/rollout/decide_rollout_test.ts
+++ b/test/rollout/decide_rollout_test.ts
@@ -3,7 +3,7 @@
   createVersionCounts,
   decideRollout,
   RolloutAct,
-  RolloutQuestion,
+  RolloutDecisionInput,
   RolloutState,
   VersionCounts,
 } from '../../src/rollout/index.js';
@@ -25,7 +25,7 @@
     count(TO, {sent: 40, answers: 40}),
   ];
 
-  function ask(change: Partial<RolloutQuestion>, shiftedMs?: number) {
+  function decide(change: Partial<RolloutDecisionInput>, shiftedMs?: number) {
     return decideRollout({
       rollout: {
         service: 'desk',
@@ -47,9 +47,9 @@
     });
   }
 
-  it('gives the new version a small part of its bound at first', () => {
-    const {act, share} = ask({});
-    expect(act).to.equal(RolloutAct.GO_ON);
+  it('gives the new version a small part of its bound at the start', () => {
+    const {act, share} = decide({});
+    expect(act).to.equal(RolloutAct.CONTINUE);
     expect(share).to.be.within(0.01, 0.05);
   });
 
@@ -58,34 +58,34 @@
       count(FROM, {sent: 1000, answers: 1000}),
       count(TO, {sent: 100, answers: 100}),
     ];
-    expect(ask({counts: much}).share).to.equal(0);
+    expect(decide({counts: much}).share).to.equal(0);
   });
 
-  it('sends all there once the time for it is nearly over', () => {
-    expect(ask({nowMs: 11_900}).act).to.equal(RolloutAct.SHIFT);
+  it('shifts all requests to it when the duration is nearly over', () => {
+    expect(decide({nowMs: 11_900}).act).to.equal(RolloutAct.SHIFT);
   });
 
-  it('waits where a route has shown too little', () => {
+  it('waits while a route has too few answers', () => {
     const rare = {...count(FROM, {sent: 500, answers: 500}), route: 'watch'};
-    const {act} = ask({nowMs: 20_000, counts: [...counts, rare]});
-    expect(act).to.equal(RolloutAct.GO_ON);
+    const {act} = decide({nowMs: 20_000, counts: [...counts, rare]});
+    expect(act).to.equal(RolloutAct.CONTINUE);
   });
 
-  it('completes only when the old servers run nothing', () => {
+  it('completes only when the old servers have no running requests', () => {
     const busy = [count(FROM, {sent: 9, running: 1}), count(TO, {sent: 99})];
-    expect(ask({nowMs: 20_000, counts: busy}, 12_000).act).to.equal(
-      RolloutAct.GO_ON,
+    expect(decide({nowMs: 20_000, counts: busy}, 12_000).act).to.equal(
+      RolloutAct.CONTINUE,
     );
-    expect(ask({nowMs: 20_000}, 12_000).act).to.equal(RolloutAct.COMPLETE);
+    expect(decide({nowMs: 20_000}, 12_000).act).to.equal(RolloutAct.COMPLETE);
   });
 
-  it('does not go on alone when servers of the new version are lost', () => {
-    const {act, share} = ask({nowMs: 20_000, readyTo: 2}, 12_000);
-    expect(act).to.equal(RolloutAct.GO_ON);
+  it('shifts requests back when servers of the new version are lost', () => {
+    const {act, share} = decide({nowMs: 20_000, readyTo: 2}, 12_000);
+    expect(act).to.equal(RolloutAct.CONTINUE);
     expect(share).to.be.lessThan(0.1);
   });
 
-  it('rolls back what was good for long and fails of late', () => {
+  it('rolls back a version that was good for a long time and fails recently', () => {
     const many = [
       count(FROM, {sent: 90_000, answers: 90_000, bad: 4000}),
       count(TO, {sent: 4000, answers: 4000, bad: 100}),
@@ -94,8 +94,8 @@
       count(FROM, {sent: 1000, answers: 1000, bad: 10}),
       count(TO, {sent: 40, answers: 40, bad: 15}),
     ];
-    expect(ask({counts: many}).act).to.equal(RolloutAct.GO_ON);
-    const {act, reason} = ask({counts: many, recent});
+    expect(decide({counts: many}).act).to.equal(RolloutAct.CONTINUE);
+    const {act, reason} = decide({counts: many, recent});
     expect(act).to.equal(RolloutAct.ROLL_BACK);
     expect(reason).to.contain('15 of 40 bad');
   });
--- a/test/rollout/rollout_simulation.ts
+++ b/test/rollout/rollout_simulation.ts
@@ -25,18 +25,18 @@
 const TICK_MS = 50;
 const CLIENT_TICKS = 8;
 const DRIVER_TICKS = 5;
-/** Requests of each host in a tick. */
-const REQUESTS = 1;
-const BASE_MS = 40;
+/** Requests of each host per tick. */
+const REQUESTS_PER_TICK = 1;
+const OLD_ANSWER_MS = 40;
 const SERVERS = 6;
 
-/** How an answer of the new version is. */
+/** Properties of one answer of the new version. */
 export interface Behaviour {
   readonly isBad: boolean;
   readonly tookMs: number;
 }
 
-/** Says how the new version answers. */
+/** Determines how the new version answers. */
 export type AnswerNew = (order: {
   readonly nowMs: number;
   readonly route: string;
@@ -49,17 +49,17 @@
   readonly isBad: boolean;
 }
 
-/** Table of roll-outs that may be away, and may lose its answers. */
+/** Store of rollouts that may be unreachable and may lose its replies. */
 export class TestRolloutStore implements RolloutStore {
-  isAway = false;
-  losesAnswers = false;
+  isUnreachable = false;
+  losesReplies = false;
   stored: StoredRollout | undefined;
   /** States that operators could read, in order. */
-  readonly told: RolloutState[] = [];
+  readonly reportedStates: RolloutState[] = [];
 
   async read(): Promise<Result<StoredRollout | undefined, TableFailure>> {
-    return this.isAway
-      ? Result.err({kind: TableFailureKind.UNREACHED, detail: 'away'})
+    return this.isUnreachable
+      ? Result.err({kind: TableFailureKind.UNREACHED, detail: 'unreachable'})
       : Result.ok(this.stored);
   }
 
@@ -67,24 +67,30 @@
     rollout: Rollout,
     version: number,
   ): Promise<Result<number, TableFailure>> {
-    if (this.isAway) {
-      return Result.err({kind: TableFailureKind.UNREACHED, detail: 'away'});
+    if (this.isUnreachable) {
+      return Result.err({
+        kind: TableFailureKind.UNREACHED,
+        detail: 'unreachable',
+      });
     }
     if ((this.stored?.version ?? 0) !== version) {
-      return Result.err({kind: TableFailureKind.CONFLICT, detail: 'other'});
+      return Result.err({
+        kind: TableFailureKind.CONFLICT,
+        detail: 'row version differs',
+      });
     }
     this.stored = {rollout, version: version + 1};
-    if (this.told.at(-1) !== rollout.state) {
-      this.told.push(rollout.state);
+    if (this.reportedStates.at(-1) !== rollout.state) {
+      this.reportedStates.push(rollout.state);
     }
-    return this.losesAnswers
-      ? Result.err({kind: TableFailureKind.UNANSWERED, detail: 'lost'})
+    return this.losesReplies
+      ? Result.err({kind: TableFailureKind.UNANSWERED, detail: 'reply lost'})
       : Result.ok(version + 1);
   }
 }
 
-/** One start of an entry host. */
-interface WorldHost {
+/** One incarnation of an entry host. */
+interface SimulatedHost {
   readonly name: string;
   readonly origin: string;
   readonly gate: VersionGate;
@@ -92,23 +98,23 @@
   readonly words: RolloutWords;
   readonly client: RolloutClient;
   readonly driver: RolloutDriver;
-  /** Whether it is linked with the others and the table. */
-  isCut: boolean;
+  /** Whether it is partitioned from the other hosts and the table. */
+  isPartitioned: boolean;
   isDown: boolean;
-  /** Fence that it believes to hold. */
+  /** Fence under which it believes to hold the duty. */
   fence: number | undefined;
 }
 
-/** Entry hosts before servers of two versions, without sockets. */
-export class RolloutWorld {
+/** Entry hosts in front of servers of two versions, without sockets. */
+export class RolloutSimulation {
   readonly clock = new VirtualClock();
   readonly store = new TestRolloutStore();
   readonly newRequests: NewRequest[] = [];
-  readonly hosts: WorldHost[] = [];
-  /** Requests to the service, since the order. */
+  readonly hosts: SimulatedHost[] = [];
+  /** Requests to the service since the start of the simulation. */
   requests = 0;
   badOfOld = 0;
-  /** Servers of the new version that take work. */
+  /** Number of servers of the new version that accept work. */
   newServers = SERVERS;
   oldServers = SERVERS;
   oldIsBad: (random: number) => boolean = () => false;
@@ -126,7 +132,7 @@
     for (let index = 0; index < count; index++) {
       this.start(index);
     }
-    this.appoint(0);
+    this.assignDuty(0);
   }
 
   /** Orders the new version. */
@@ -136,8 +142,8 @@
     }
   }
 
-  /** Has a host hold the duty; the one before may go on believing it. */
-  appoint(index: number, endsFormer = true): void {
+  /** Assigns the duty to a host; its former holder may still believe to hold it. */
+  assignDuty(index: number, endsFormer = true): void {
     for (const host of this.hosts) {
       if (endsFormer) {
         host.fence = undefined;
@@ -148,7 +154,7 @@
     this.holder = host.name;
   }
 
-  /** Starts a host, anew if it ran before. */
+  /** Starts a host, or a new incarnation of it. */
   start(index: number): void {
     const name = `front-${index}`;
     const origin = `${name}/${this.starts++}`;
@@ -178,7 +184,7 @@
       getTableMs: () => clock.monotonicMs(),
       getBound: () => ({share: 0.1, slack: 50}),
     });
-    const host: WorldHost = {
+    const host: SimulatedHost = {
       name,
       origin,
       ledger,
@@ -199,10 +205,10 @@
         ledger,
         host: name,
         answerHere: question => driver.answer(question, origin),
-        findHolder: async () => (host.isCut ? undefined : this.holder),
+        findHolder: async () => (host.isPartitioned ? undefined : this.holder),
         requestPeer: async (to, body) => this.ask(host, to, body),
       }),
-      isCut: false,
+      isPartitioned: false,
       isDown: false,
       fence: undefined,
     };
@@ -210,7 +216,7 @@
     this.orders[index] = orders;
   }
 
-  getHost(index: number): WorldHost {
+  getHost(index: number): SimulatedHost {
     const host = this.hosts[index];
     if (host === undefined) {
       throw new Error(`no host ${index}`);
@@ -218,7 +224,7 @@
     return host;
   }
 
-  /** Lets time pass, with requests. */
+  /** Advances the time while hosts send requests. */
   async run(ms: number): Promise<void> {
     const endMs = this.clock.monotonicMs() + ms;
     while (this.clock.monotonicMs() < endMs) {
@@ -226,13 +232,13 @@
     }
   }
 
-  /** Returns when the new version gave its n-th bad answer; infinite if never. */
+  /** Returns the time of the n-th bad answer of the new version; infinite if none. */
   getBadMs(n: number): number {
     const bad = this.newRequests.filter(({isBad}) => isBad);
     return bad[n - 1]?.atMs ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Counts the requests that reached the new version after a moment. */
+  /** Counts the requests that reached the new version after a given time. */
   countNewAfter(ms: number): number {
     return this.newRequests.filter(({atMs}) => atMs > ms).length;
   }
@@ -249,14 +255,14 @@
       if ((this.ticks + index) % DRIVER_TICKS === 0) {
         await host.driver.step();
       }
-      for (let request = 0; request < REQUESTS; request++) {
+      for (let request = 0; request < REQUESTS_PER_TICK; request++) {
         this.send(host);
       }
     }
     await this.clock.advance(TICK_MS);
   }
 
-  private send(host: WorldHost): void {
+  private send(host: SimulatedHost): void {
     const allows = host.gate.draw(SERVICE, true);
     const isNew = allows?.(createServer(NEW)) ?? true;
     const isOld = allows?.(createServer(OLD)) ?? true;
@@ -272,9 +278,12 @@
     const {isBad, tookMs} =
       version === NEW
         ? this.answerNew({nowMs, route, random})
-        : {isBad: this.oldIsBad(random), tookMs: BASE_MS};
+        : {isBad: this.oldIsBad(random), tookMs: OLD_ANSWER_MS};
     if (version === NEW) {
-      this.newRequests.push({atMs: nowMs, isBad: isBad || tookMs > BASE_MS});
+      this.newRequests.push({
+        atMs: nowMs,
+        isBad: isBad || tookMs > OLD_ANSWER_MS,
+      });
     }
     const end = isBad ? VersionEnd.BAD : VersionEnd.GOOD;
     run.finish(end, tookMs, tookMs);
@@ -292,22 +301,27 @@
   }
 
   private async callStore<T>(
-    host: WorldHost,
+    host: SimulatedHost,
     call: (store: TestRolloutStore) => Promise<Result<T, TableFailure>>,
   ): Promise<Result<T, TableFailure>> {
-    return host.isCut
-      ? Result.err({kind: TableFailureKind.UNREACHED, detail: 'cut'})
+    return host.isPartitioned
+      ? Result.err({kind: TableFailureKind.UNREACHED, detail: 'partitioned'})
       : call(this.store);
   }
 
   private async ask(
-    from: WorldHost,
+    from: SimulatedHost,
     to: string,
     body: unknown,
   ): Promise<Result<unknown, Error>> {
     const host = this.hosts.find(({name}) => name === to);
-    if (host === undefined || host.isDown || host.isCut || from.isCut) {
-      return Result.err(new Error('not reached'));
+    if (
+      host === undefined ||
+      host.isDown ||
+      host.isPartitioned ||
+      from.isPartitioned
+    ) {
+      return Result.err(new Error('peer not reached'));
     }
     return Result.ok(host.driver.answer(body as never, from.origin));
   }
