--- a/src/generation/generation_runner.ts
+++ b/src/generation/generation_runner.ts
@@ -294,7 +294,7 @@
     const {generation, deployment, engine, chosen} = attempt;
     const {clock, meter, lengths} = this.options;
     const {deadlineMs} = generation.request;
-    // Limits are shortened to the deadline, so that a stream does not outlast it.
+    // Past the deadline the limit is 0, so that a stream ends even if tokens arrive.
     const limitToDeadline = (limitMs: number) =>
       Math.max(0, Math.min(limitMs, deadlineMs - clock.monotonicMs()));
     const watch = new SilenceWatch(
--- a/src/journal/book.ts
+++ b/src/journal/book.ts
@@ -19,7 +19,7 @@
 } from './entry.js';
 import {AppendFailure, Journal} from './journal.js';
 import {LiveEntry, track} from './live_entry.js';
-import {splitEntryKey, toOrder} from './recorded_order.js';
+import {createRecordedOrder, splitEntryKey} from './recorded_order.js';
 
 /** Options of a book. */
 export interface BookOptions {
@@ -212,13 +212,13 @@
     if (known === undefined) {
       return;
     }
-    const settles =
+    const matchesAttempt =
       known.entry.attempt !== '' &&
       [entry.attempt, ...(entry.ended ?? [])].includes(known.entry.attempt);
-    const open =
+    const isOpen =
       known.entry.state === EntryState.DISPATCHED ||
       known.entry.state === EntryState.UNKNOWN;
-    if (!open || !settles || known.pending !== undefined) {
+    if (!isOpen || !matchesAttempt || known.pending !== undefined) {
       const ended = [entry.attempt, ...(entry.ended ?? [])];
       if (entry.state === EntryState.ACCEPTED) {
         // Lists them as ended, for a later holder that reads them in the table.
@@ -481,7 +481,7 @@
 
   private createAcceptedOrder(entry: Entry): CallOrder {
     const {clock, retentionMs} = this.options;
-    return toOrder(entry, clock.monotonicMs() + retentionMs);
+    return createRecordedOrder(entry, clock.monotonicMs() + retentionMs);
   }
 
   private getRecordTimeoutMs(order: CallOrder): number {
--- a/src/journal/bookkeeper.ts
+++ b/src/journal/bookkeeper.ts
@@ -64,7 +64,7 @@
 }
 
 /** Limit on the checks of the book rows per second, over all hosts. */
-const WATCH_READS_PER_SECOND = 100;
+const MAX_CHECKS_PER_SECOND = 100;
 /** Longest time for which pending writes of a book may delay its handover. */
 const HANDOVER_TIMEOUT_MS = 2000;
 /** Leases for which another host must rank first before a book is moved to it. */
@@ -80,7 +80,7 @@
   private readonly opening = new Set<string>();
   /** Books for which another host ranks first, and since when, in monotonic ms. */
   private readonly misplaced = new Map<string, number>();
-  private readonly copies = new SeenCopies();
+  private readonly seenCopies = new SeenCopies();
   /** Incarnations from which books were received, by book. */
   private readonly senderIncarnations = new Map<string, string>();
   /** Books handed over whose running calls finish on this host. */
@@ -144,7 +144,7 @@
    */
   async run(book: string, order: CallOrder): Promise<CallOutcome> {
     const held = this.books.get(book);
-    const isNew = this.copies.add(order.instance, order.copy);
+    const isNew = this.seenCopies.add(order.instance, order.copy);
     if (held === undefined || !isNew) {
       return {kind: OutcomeKind.MOVED};
     }
@@ -504,7 +504,7 @@
 
   private getWatchMs(): number {
     const hosts = this.options.listLiveHosts().length;
-    const spreadMs = (hosts * 1000) / WATCH_READS_PER_SECOND;
+    const spreadMs = (hosts * 1000) / MAX_CHECKS_PER_SECOND;
     return Math.max(this.options.watchMs, spreadMs);
   }
 }
--- a/src/journal/recorded_order.ts
+++ b/src/journal/recorded_order.ts
@@ -12,7 +12,7 @@
  * @param entry - The entry.
  * @param deadlineMs - Time until which the call is attempted, in monotonic ms.
  */
-export function toOrder(entry: Entry, deadlineMs: number): CallOrder {
+export function createRecordedOrder(entry: Entry, deadlineMs: number): CallOrder {
   const [customer, key] = splitEntryKey(entry.key);
   return {
     entryKey: entry.key,
--- a/src/service/once_calls.ts
+++ b/src/service/once_calls.ts
@@ -48,7 +48,7 @@
   readonly firstAttempt: boolean;
 }
 
-const RETRY_MS = 100;
+const RETRY_INTERVAL_MS = 100;
 /** Time-out of a request to one peer, after which the holder is looked up again. */
 const PEER_TIMEOUT_MS = 3000;
 /** Longest wait for a holder of a book whose last holder has left. */
@@ -90,10 +90,10 @@
       }
       mayHaveArrived ||= attempt.isErr && attempt.error === 'sent';
       const endMs = mayHaveArrived ? order.deadlineMs : holderDeadlineMs;
-      if (clock.monotonicMs() + RETRY_MS >= endMs) {
+      if (clock.monotonicMs() + RETRY_INTERVAL_MS >= endMs) {
         return this.failWithoutHolder(call, book, mayHaveArrived);
       }
-      await clock.sleep(RETRY_MS);
+      await clock.sleep(RETRY_INTERVAL_MS);
     }
   }
 
--- a/src/service/service_dispatcher.ts
+++ b/src/service/service_dispatcher.ts
@@ -35,7 +35,7 @@
 }
 
 const MS_PER_SECOND = 1000;
-const SERVER_ERROR = 500;
+const SERVER_ERROR_STATUS = 500;
 
 /** Properties of a call that its dispatch needs. */
 export type DispatchOrder = Pick<
@@ -137,7 +137,7 @@
       content.beginRun();
       const result = await this.send(order.call, server, remainingMs);
       if (result.kind === DispatchKind.ANSWERED) {
-        if (result.answer.status < SERVER_ERROR) {
+        if (result.answer.status < SERVER_ERROR_STATUS) {
           content.addAnswer();
         }
         return result;
