--- a/src/rollout/decide_rollout.ts
+++ b/src/rollout/decide_rollout.ts
@@ -69,8 +69,8 @@
  * that a version that turns bad late has not received more. Then it gets all requests,
  * while the old servers, which stop at once on completion, finish what they run.
  */
-export function decideRollout(question: RolloutDecisionInput): RolloutDecision {
-  const {rollout, counts, recent, readyTo} = question;
+export function decideRollout(input: RolloutDecisionInput): RolloutDecision {
+  const {rollout, counts, recent, readyTo} = input;
   for (const judgedCounts of [counts, recent]) {
     const {isBad, reason} = judgeVersion(
       judgedCounts,
@@ -86,23 +86,23 @@
     return {act: RolloutAct.CONTINUE, share: 0, reason};
   }
   return rollout.shiftedMs === undefined
-    ? decideTrial(question)
-    : decideCompletion(question, rollout.shiftedMs);
+    ? decideTrial(input)
+    : decideCompletion(input, rollout.shiftedMs);
 }
 
-function decideTrial(question: RolloutDecisionInput): RolloutDecision {
-  const {rollout, nowMs, counts, bound} = question;
+function decideTrial(input: RolloutDecisionInput): RolloutDecision {
+  const {rollout, nowMs, counts, bound} = input;
   const elapsedMs = nowMs - rollout.startedMs;
   const sentTo = sumVersionCounts(rollout.to, counts).sent;
   const sentFrom = sumVersionCounts(rollout.from, counts).sent;
   const maxSentTo =
     PAUSE_SHARE * (bound.share * (sentTo + sentFrom) + bound.slack / 2);
-  const reason = findReasonToWait(question, elapsedMs);
+  const reason = findReasonToWait(input, elapsedMs);
   if (reason === undefined) {
     return {act: RolloutAct.SHIFT, share: 1, reason: 'trial passed'};
   }
   if (sentTo >= maxSentTo) {
-    const pauseReason = `${sentTo} of ${sentTo + sentFrom} requests sent: share used up`;
+    const pauseReason = `${sentTo} of ${sentTo + sentFrom} requests sent to the new version: share used up`;
     return {act: RolloutAct.CONTINUE, share: 0, reason: pauseReason};
   }
   return {act: RolloutAct.CONTINUE, share: TRIAL_SHARE * bound.share, reason};
--- a/src/rollout/index.ts
+++ b/src/rollout/index.ts
@@ -16,12 +16,15 @@
 export type {RolloutOrder} from './rollout_order.js';
 export {RolloutOrders} from './rollout_orders.js';
 export type {RolloutStore, StoredRollout} from './rollout_store.js';
-export {rolloutAnswerSchema, rolloutQuestionSchema} from './rollout_word.js';
+export {
+  rolloutAnswerSchema,
+  rolloutQuestionSchema,
+} from './rollout_messages.js';
 export type {
   RolloutAnswer,
   RolloutQuestionMessage,
-  RolloutWord,
-} from './rollout_word.js';
+  RolloutDirective,
+} from './rollout_messages.js';
 export {RolloutWords} from './rollout_words.js';
 export {createVersionCounts} from './version_counts.js';
 export type {VersionCounts} from './version_counts.js';
--- a/src/rollout/judge_version.ts
+++ b/src/rollout/judge_version.ts
@@ -24,7 +24,7 @@
 /** Factor by which the mean time of its answers has to exceed that of the other version. */
 const SLOW_FACTOR = 2;
 /** Milliseconds by which the mean time has to exceed it in addition. */
-const SLOW_MS = 15;
+const SLOW_MARGIN_MS = 15;
 
 /**
  * Judges a version by comparing its answers with those of the previous version, in total
@@ -65,7 +65,7 @@
 function judgePair(
   judged: VersionCounts,
   baseline: VersionCounts | undefined,
-  where: string,
+  scope: string,
 ): VersionVerdict {
   const answers = baseline?.answers ?? 0;
   const bad = baseline?.bad ?? 0;
@@ -76,16 +76,16 @@
     judged.bad >= MIN_BAD_ANSWERS &&
     judged.bad > expected + MIN_DEVIATIONS * Math.max(deviation, 0.5)
   ) {
-    const reason = `${judged.bad} of ${judged.answers} bad on ${where}, ${bad} of ${answers} of the old version`;
+    const reason = `${judged.bad} of ${judged.answers} bad on ${scope}, ${bad} of ${answers} of the old version`;
     return {isBad: true, reason};
   }
-  return baseline === undefined ? NOT_BAD : judgeTimes(judged, baseline, where);
+  return baseline === undefined ? NOT_BAD : judgeTimes(judged, baseline, scope);
 }
 
 function judgeTimes(
   judged: VersionCounts,
   baseline: VersionCounts,
-  where: string,
+  scope: string,
 ): VersionVerdict {
   const judgedGood = judged.answers - judged.bad;
   const baselineGood = baseline.answers - baseline.bad;
@@ -95,8 +95,8 @@
   for (const time of ['firstMs', 'wholeMs'] as const) {
     const judgedMs = judged[time] / judgedGood;
     const baselineMs = baseline[time] / baselineGood;
-    if (judgedMs > baselineMs * SLOW_FACTOR + SLOW_MS) {
-      const reason = `${time} ${judgedMs.toFixed(0)} on ${where}, ${baselineMs.toFixed(0)} for the old version`;
+    if (judgedMs > baselineMs * SLOW_FACTOR + SLOW_MARGIN_MS) {
+      const reason = `${time} ${judgedMs.toFixed(0)} on ${scope}, ${baselineMs.toFixed(0)} for the old version`;
       return {isBad: true, reason};
     }
   }
--- a/src/rollout/rollout_client.ts
+++ b/src/rollout/rollout_client.ts
@@ -8,7 +8,7 @@
   RolloutAnswer,
   rolloutAnswerSchema,
   RolloutQuestionMessage,
-} from './rollout_word.js';
+} from './rollout_messages.js';
 import {RolloutWords} from './rollout_words.js';
 import {VersionLedger} from './version_ledger.js';
 
@@ -22,7 +22,7 @@
   /** Name of this host. */
   readonly host: string;
   /** Handles a report on this host; the reply says whether it holds the duty. */
-  readonly answerHere: (question: RolloutQuestionMessage) => RolloutAnswer;
+  readonly answerHere: (report: RolloutQuestionMessage) => RolloutAnswer;
   /** Finds the host that holds the duty; `undefined` if it cannot be determined. */
   readonly findHolder: () => Promise<string | undefined>;
   readonly requestPeer: (
@@ -71,7 +71,7 @@
       const {service, number} = order;
       if (!this.countedOrders.has(number)) {
         this.countedOrders.add(number);
-        ledger.startAnew(service);
+        ledger.reset(service);
       }
       const directive = words.get(service, number);
       if (directive === undefined || !isFinal(directive)) {
@@ -82,23 +82,23 @@
 
   private async report({service, number}: RolloutOrder): Promise<void> {
     const {ledger, words, answerHere} = this.options;
-    const question: RolloutQuestionMessage = {
+    const report: RolloutQuestionMessage = {
       kind: 'rollout',
       service,
       order: number,
       counts: ledger.list(service),
     };
-    const localReply = answerHere(question);
+    const localReply = answerHere(report);
     const reply = localReply.isHolder
       ? localReply
-      : await this.reportToHolder(question);
+      : await this.reportToHolder(report);
     if (reply?.word !== undefined) {
       words.add(reply.word);
     }
   }
 
   private async reportToHolder(
-    question: RolloutQuestionMessage,
+    report: RolloutQuestionMessage,
   ): Promise<RolloutAnswer | undefined> {
     const holder = await this.getHolder();
     if (holder === undefined || holder === this.options.host) {
@@ -106,7 +106,7 @@
       return undefined;
     }
     const {requestPeer} = this.options;
-    const reply = await requestPeer(holder, question, REPLY_TIMEOUT_MS);
+    const reply = await requestPeer(holder, report, REPLY_TIMEOUT_MS);
     const answer = rolloutAnswerSchema.safeParse(reply.unwrapOr(undefined));
     if (!answer.success || !answer.data.isHolder) {
       this.holder = undefined;
--- a/src/rollout/rollout_driver.ts
+++ b/src/rollout/rollout_driver.ts
@@ -15,8 +15,8 @@
 import {
   RolloutAnswer,
   RolloutQuestionMessage,
-  RolloutWord,
-} from './rollout_word.js';
+  RolloutDirective,
+} from './rollout_messages.js';
 import {sumVersionCounts, VersionCounts} from './version_counts.js';
 import {findMajorityVersion} from './version_gate.js';
 import {VersionLedger} from './version_ledger.js';
@@ -91,21 +91,21 @@
 
   /**
    * Handles the report of a host.
-   * @param question - The report.
+   * @param report - The report.
    * @param origin - Name and incarnation of the host.
    * @returns The directive for the host, if this host holds the duty and has one.
    */
-  answer(question: RolloutQuestionMessage, origin: string): RolloutAnswer {
+  answer(report: RolloutQuestionMessage, origin: string): RolloutAnswer {
     const fence = this.options.getFence();
     if (fence === undefined) {
       return {isHolder: false};
     }
-    const active = this.active.get(question.service);
-    const isKnown = active?.rollout.order === question.order;
+    const active = this.active.get(report.service);
+    const isKnown = active?.rollout.order === report.order;
     if (active === undefined || !isKnown || fence !== this.fence) {
       return {isHolder: true};
     }
-    active.setCounts(origin, question.counts);
+    active.setCounts(origin, report.counts);
     return {isHolder: true, word: createDirective(active, fence)};
   }
 
@@ -352,7 +352,7 @@
 function createDirective(
   {rollout, share}: ActiveRollout,
   fence: number,
-): RolloutWord {
+): RolloutDirective {
   const {service, order, from, to, state} = rollout;
   return {service, order, from, to, state, share, fence};
 }
--- a/src/rollout/rollout_messages.ts
+++ b/src/rollout/rollout_messages.ts
@@ -40,5 +40,5 @@
 });
 
 export type RolloutQuestionMessage = z.output<typeof rolloutQuestionSchema>;
-export type RolloutWord = z.output<typeof rolloutDirectiveSchema>;
+export type RolloutDirective = z.output<typeof rolloutDirectiveSchema>;
 export type RolloutAnswer = z.output<typeof rolloutAnswerSchema>;
--- a/src/rollout/rollout_words.ts
+++ b/src/rollout/rollout_words.ts
@@ -1,11 +1,11 @@
 import {Log} from '../log/index.js';
 import {Clock} from '../time/index.js';
 import {isFinal} from './rollout.js';
-import {RolloutWord} from './rollout_word.js';
+import {RolloutDirective} from './rollout_messages.js';
 
 /** A directive and the time at which it was received. */
 interface ReceivedDirective {
-  readonly directive: RolloutWord;
+  readonly directive: RolloutDirective;
   readonly receivedMs: number;
 }
 
@@ -29,7 +29,7 @@
    * Adds a directive. Directives of an earlier order or holder are ignored, and so are
    * those for an order that has already ended.
    */
-  add(directive: RolloutWord): void {
+  add(directive: RolloutDirective): void {
     const known = this.lastByService.get(directive.service)?.directive;
     if (known !== undefined && !supersedes(directive, known)) {
       return;
@@ -43,7 +43,7 @@
   }
 
   /** Returns the last directive of an order, whatever its age. */
-  get(service: string, order: number): RolloutWord | undefined {
+  get(service: string, order: number): RolloutDirective | undefined {
     const directive = this.lastByService.get(service)?.directive;
     return directive?.order === order ? directive : undefined;
   }
@@ -56,7 +56,10 @@
   }
 }
 
-function supersedes(directive: RolloutWord, known: RolloutWord): boolean {
+function supersedes(
+  directive: RolloutDirective,
+  known: RolloutDirective,
+): boolean {
   if (directive.order !== known.order) {
     return directive.order > known.order;
   }
--- a/src/rollout/version_gate.ts
+++ b/src/rollout/version_gate.ts
@@ -4,7 +4,7 @@
 import {RolloutState} from './rollout.js';
 import {RolloutOrder} from './rollout_order.js';
 import {RolloutOrders} from './rollout_orders.js';
-import {RolloutWord} from './rollout_word.js';
+import {RolloutDirective} from './rollout_messages.js';
 import {RolloutWords} from './rollout_words.js';
 
 /** Returns whether a server may receive a request. */
@@ -67,7 +67,7 @@
   }
 
   private selectByDirective(
-    directive: RolloutWord,
+    directive: RolloutDirective,
     isFirst: boolean,
   ): AllowsServer {
     const {words, random} = this.options;
--- a/src/rollout/version_ledger.ts
+++ b/src/rollout/version_ledger.ts
@@ -47,7 +47,7 @@
   }
 
   /** Resets the counts of a service when a rollout begins. */
-  startAnew(service: string): void {
+  reset(service: string): void {
     this.services.delete(service);
   }
 
@@ -59,12 +59,12 @@
   }
 
   private get(service: string, version: string, route: string): VersionCounts {
-    const byKey =
+    const countsByKey =
       this.services.get(service) ?? new Map<string, VersionCounts>();
-    this.services.set(service, byKey);
+    this.services.set(service, countsByKey);
     const key = `${version}\n${route}`;
-    const counts = byKey.get(key) ?? createVersionCounts(version, route);
-    byKey.set(key, counts);
+    const counts = countsByKey.get(key) ?? createVersionCounts(version, route);
+    countsByKey.set(key, counts);
     return counts;
   }
 }
--- a/test/rollout/rollout_simulation.ts
+++ b/test/rollout/rollout_simulation.ts
@@ -204,9 +204,9 @@
         words,
         ledger,
         host: name,
-        answerHere: question => driver.answer(question, origin),
+        answerHere: report => driver.answer(report, origin),
         findHolder: async () => (host.isPartitioned ? undefined : this.holder),
-        requestPeer: async (to, body) => this.ask(host, to, body),
+        requestPeer: async (to, body) => this.deliverReport(host, to, body),
       }),
       isPartitioned: false,
       isDown: false,
@@ -309,7 +309,7 @@
       : call(this.store);
   }
 
-  private async ask(
+  private async deliverReport(
     from: SimulatedHost,
     to: string,
     body: unknown,
