--- a/src/lease/duty.ts
+++ b/src/lease/duty.ts
@@ -2,66 +2,69 @@
 import {Clock} from '../time/index.js';
 import {Lease} from './lease.js';
 
-/** What a duty works with. */
+/** Dependencies and timing of a duty. */
 export interface DutyOptions {
   readonly lease: Lease;
   readonly clock: Clock;
   readonly log: Log;
-  /** Pause between renewals, in milliseconds. */
+  /** Interval between renewals, in milliseconds. */
   readonly renewMs: number;
-  /** Pause between looks while another host holds it, in milliseconds. */
+  /** Interval between checks while another host holds the duty, in milliseconds. */
   readonly watchMs: number;
   /**
-   * Time before the lease ends in which nothing is begun, in milliseconds, so
-   * that no order is under way when another holder may act.
+   * Time before the lease expires in which the holder starts nothing new, in
+   * milliseconds, so that no operation is in progress when another holder may act.
    */
   readonly marginMs: number;
   /**
-   * Time in which a machine that regains the duty does not act, in
-   * milliseconds: as long as an order of the holder between may count.
+   * Time for which a machine that regains the duty does not act, in milliseconds:
+   * as long as an operation of the holder in between may still take effect.
    */
   readonly quietMs: number;
-  /** Tells whether this host should try to hold the duty while it does not. */
+  /** Returns whether this host should try to acquire the duty while it does not hold it. */
   readonly competes: () => boolean;
 }
 
-/** A duty of one host at a time: keeps its lease and tells when to act. */
+/**
+ * Work that one host does at a time. Keeps the lease renewed and decides whether this
+ * host may act.
+ */
 export class Duty {
   private fence: number | undefined;
   private sinceMs = 0;
 
   constructor(private readonly options: DutyOptions) {}
 
-  /** Renews or claims the lease until aborted, then gives it up. */
+  /** Renews or claims the lease until aborted, then releases it. */
   async run(signal: AbortSignal): Promise<void> {
     const {lease, clock, renewMs, watchMs} = this.options;
     while (!signal.aborted) {
       if (lease.getHeld() === undefined && !this.options.competes()) {
-        this.note(undefined);
+        this.recordFence(undefined);
         await clock.sleep(watchMs, signal);
         continue;
       }
       const held = await lease.claim();
-      this.note(held?.fence);
+      this.recordFence(held?.fence);
       await clock.sleep(held === undefined ? watchMs : renewMs, signal);
     }
     await lease.release();
-    this.note(undefined);
+    this.recordFence(undefined);
   }
 
-  /** Reads who holds the duty, as the table says; nothing where nobody does. */
+  /** Reads the current holder of the duty from the table; `undefined` if there is none. */
   readHolder(): Promise<string | undefined> {
     return this.options.lease.readHolder();
   }
 
-  /** Tells whether this host holds the duty, if only to become quiet. */
+  /** Returns whether this host holds the duty, even if it may not act yet or any more. */
   isHeld(): boolean {
     return this.options.lease.getHeld() !== undefined;
   }
 
   /**
-   * Returns the fencing number under which this host may act right now. Ask
-   * again directly before each act.
+   * Returns the fencing number under which this host may act now; `undefined` if it
+   * may not act. Call this directly before each action.
    */
   getFence(): number | undefined {
     const {lease, clock, quietMs} = this.options;
@@ -76,7 +79,7 @@
     return held.isReturn && heldMs < quietMs ? undefined : held.fence;
   }
 
-  private note(fence: number | undefined): void {
+  private recordFence(fence: number | undefined): void {
     if (fence === this.fence) {
       return;
     }
--- a/src/lease/lease.ts
+++ b/src/lease/lease.ts
@@ -9,84 +9,85 @@
 } from '../table/index.js';
 import {Clock} from '../time/index.js';
 
-/** Row of a lease. */
+/** Table row of a lease. */
 interface LeaseRow {
   readonly holder: string;
-  /** Rises with every change of holder; orders bear it. */
+  /** Increases with every change of holder; sent with each operation of the holder. */
   readonly fence: number;
-  /** Holders before this one, the latest first. */
+  /** Previous holders, the latest first. */
   readonly former?: readonly string[];
-  /** Differs with every write, so that others see that the holder lives. */
+  /** Changes with every write, so that other hosts see that the holder is alive. */
   readonly beat: number;
 }
 
-/** A lease that is held now. */
+/** A lease that this host holds. */
 export interface HeldLease {
-  /** Number that orders under this lease bear. */
+  /** Fencing number to send with each operation under this lease. */
   readonly fence: number;
-  /** When the holder must stop, on its own monotonic clock, in ms. */
+  /** Expiry on the holder's own monotonic clock, in milliseconds. */
   readonly untilMs: number;
   /**
-   * The same moment by the time of day, in Unix ms: a machine that was
-   * suspended does not count that time on its monotonic clock.
+   * The same expiry as wall-clock time, in Unix milliseconds: the monotonic clock of a
+   * machine does not advance while the machine is suspended.
    */
   readonly untilTimeOfDayMs: number;
   /**
-   * Whether this machine held the lease before another did: orders of that other
-   * may still count as the latest.
+   * Whether this machine held the lease earlier and another one held it in between:
+   * operations of that other holder may still be taken as the latest.
    */
   readonly isReturn: boolean;
 }
 
-/** What a lease works with. */
+/** Dependencies and timing of a lease. */
 export interface LeaseOptions {
   readonly table: TableService;
   readonly clock: Clock;
-  /** Name of the role, such as "placement"; part of the row's key. */
+  /** Name of the role, such as "placement"; used in the row's key. */
   readonly role: string;
-  /** Host and incarnation of the would-be holder. */
+  /** Host and incarnation of this process. */
   readonly holder: string;
-  /** How long the lease holds without renewal, in milliseconds. */
+  /** Time after which the lease expires without renewal, in milliseconds. */
   readonly durationMs: number;
-  /** Time that others wait beyond the duration, for clocks that drift, in ms. */
+  /** Extra time that other hosts wait beyond the duration, for clock drift, in ms. */
   readonly marginMs: number;
   /**
-   * Tells whether a holder was an earlier start of the process on this machine;
-   * such a holder is certainly gone. Left out, none is.
+   * Returns whether a holder is an earlier incarnation of the process on this machine;
+   * such a holder has certainly terminated. If omitted, no other holder is.
    */
   readonly isOwnMachine?: (holder: string) => boolean;
   /**
-   * When a lease granted by an exchange ends for its holder.
-   * @param sentMs - When the request was sent.
-   * @param answeredMs - When the answer came.
+   * Returns the time from which the duration of a granted lease is counted, in
+   * monotonic milliseconds; if omitted, it is counted from `sentMs`.
+   * @param sentMs - When the request was sent, monotonic milliseconds.
+   * @param answeredMs - When the answer arrived, monotonic milliseconds.
    */
   readonly judge?: (sentMs: number, answeredMs: number) => number;
 }
 
 const PREFIX = 'leases/';
-/** Former holders that a row remembers. */
+/** Maximum number of previous holders kept in a row. */
 const MAX_FORMER = 6;
 
 /**
  * A role that one host holds at a time.
  *
- * The holder counts the duration from before it sent the request, so its lease
- * ends for itself before it can end for anybody else. Others take the row over
- * once they have watched it unchanged for the duration and a margin.
+ * The holder counts the duration from before it sent the request, so its lease expires
+ * for itself before it can expire for any other host. Other hosts take the row over
+ * once they have seen it unchanged for the duration plus a margin.
  */
 export class Lease {
   private held: HeldLease | undefined;
-  /** Counts releases: an answer that comes after one grants nothing. */
+  /** Counts releases: an answer that arrives after a release grants no lease. */
   private releases = 0;
   private releasing = false;
   private seenVersion = -1;
   private seenMs = 0;
-  /** The row as this holder wrote it last; absent where that is in doubt. */
+  /** The row as this holder last wrote it; absent if that is not certain. */
   private writtenRow: Row | undefined;
 
   constructor(private readonly options: LeaseOptions) {}
 
-  /** Returns the lease while it is certainly held. */
+  /** Returns the lease while this host certainly holds it. */
   getHeld(): HeldLease | undefined {
     const held = this.held;
     const {clock} = this.options;
@@ -97,9 +98,9 @@
   }
 
   /**
-   * Renews the lease, or takes it if nobody holds it. Call it several times
-   * per duration.
-   * @returns The lease, if it is held now.
+   * Renews the lease, or takes it if no host holds it. Call this several times per
+   * duration.
+   * @returns The lease, if this host holds it now.
    */
   async claim(): Promise<HeldLease | undefined> {
     if (this.releasing) {
@@ -114,8 +115,9 @@
     const row = found.value;
     const current = row?.value as LeaseRow | undefined;
     const own = current?.holder === this.options.holder;
-    const gone = current !== undefined && this.isOwnMachine(current.holder);
-    if (row !== undefined && !own && !gone && !this.hasLapsed(row)) {
+    const terminated =
+      current !== undefined && this.isOwnMachine(current.holder);
+    if (row !== undefined && !own && !terminated && !this.hasExpired(row)) {
       this.held = undefined;
       return undefined;
     }
@@ -123,14 +125,17 @@
     return this.getHeld();
   }
 
-  /** Reads who holds the lease, as the table says; nothing where nobody does. */
+  /** Reads the current holder from the table; `undefined` if there is none. */
   async readHolder(): Promise<string | undefined> {
     const found = await this.options.table.get(PREFIX + this.options.role);
     const row = found.unwrapOr(undefined)?.value as LeaseRow | undefined;
     return row === undefined || row.holder === '' ? undefined : row.holder;
   }
 
-  /** A holder knows the row as long as nobody else writes it: it need not read it. */
+  /**
+   * Returns the row as last written while the lease is held, which saves a read: no
+   * other host writes the row then. Reads the row from the table otherwise.
+   */
   private async findRow(
     key: string,
   ): Promise<Result<Row | undefined, TableFailure>> {
@@ -141,7 +146,7 @@
       : this.options.table.get(key);
   }
 
-  /** Gives the lease up, so that another host can take it at once. */
+  /** Releases the lease, so that another host can take it at once. */
   async release(): Promise<void> {
     const key = PREFIX + this.options.role;
     this.held = undefined;
@@ -184,7 +189,8 @@
     }
     const own = current?.holder === holder;
     const previous = current?.fence ?? 0;
-    // A lapsed lease of one's own is a new one: others may have been told so.
+    // An own lease that has expired is taken as a new one, with a new fencing number:
+    // other hosts may have been told of the expiry.
     const renews = own && this.getHeld() !== undefined;
     const next: LeaseRow = {
       holder,
@@ -223,7 +229,10 @@
     return holder === own || isOwnMachine?.(holder) === true;
   }
 
-  /** The latest holder before may be this machine; one further back is not. */
+  /**
+   * Returns whether, among the previous holders, this machine held the lease and
+   * another machine after it. This machine alone as the latest holder is no return.
+   */
   private isReturn(former: readonly string[]): boolean {
     let other = false;
     for (const holder of former) {
@@ -236,8 +245,8 @@
     return false;
   }
 
-  /** Tells whether a row was watched unchanged for long enough. */
-  private hasLapsed(row: Row): boolean {
+  /** Returns whether a row is released, or was seen unchanged for long enough. */
+  private hasExpired(row: Row): boolean {
     const {clock, durationMs, marginMs} = this.options;
     const nowMs = clock.monotonicMs();
     if ((row.value as LeaseRow).holder === '') {
@@ -260,7 +269,7 @@
   if (current === undefined || current.holder === holder) {
     return former;
   }
-  // A lease that was given up names no holder.
+  // A released lease has an empty holder.
   const last = current.holder === '' ? [] : [current.holder];
   return [...last, ...former].slice(0, MAX_FORMER);
 }
--- a/test/lease/duty_test.ts
+++ b/test/lease/duty_test.ts
@@ -6,7 +6,7 @@
 
 const LEASE_MS = 3000;
 
-/** A clock of a machine that was suspended: only its time of day went on. */
+/** Clock of a machine that was suspended: only its wall-clock time advanced. */
 class SuspendedClock implements Clock {
   suspendedMs = 0;
 
@@ -37,7 +37,7 @@
     table = new MemoryTableService();
   });
 
-  /** Starts a process on a machine. */
+  /** Creates a duty for one incarnation of the process on a machine. */
   function start(machine: string, incarnation: string, own: Clock = clock) {
     const stopped = new AbortController();
     const duty = new Duty({
@@ -61,7 +61,7 @@
     return {duty, stopped, run: () => void duty.run(stopped.signal)};
   }
 
-  it('is held by one host, which may act at once', async () => {
+  it('is held by one host at a time, which may act at once', async () => {
     const a = start('a', '1');
     const b = start('b', '1');
     a.run();
@@ -75,7 +75,7 @@
     await clock.advance(100);
   });
 
-  it('may not be acted on after the machine was suspended', async () => {
+  it('does not let a host act after its machine was suspended for a whole lease', async () => {
     const own = new SuspendedClock(clock);
     const a = start('a', '1', own);
     a.run();
@@ -86,7 +86,7 @@
     await clock.advance(100);
   });
 
-  it('is taken at once from an earlier start on the same machine', async () => {
+  it('is taken over at once from an earlier incarnation on the same machine', async () => {
     const lease = new Lease({
       table,
       clock,
@@ -104,7 +104,7 @@
     await clock.advance(100);
   });
 
-  it('is not acted on by a machine that regains it within a lease', async () => {
+  it('does not let a machine that regains it act until a lease duration has passed', async () => {
     const a = start('a', '1');
     a.run();
     await clock.advance(100);
@@ -125,7 +125,7 @@
     await clock.advance(100);
   });
 
-  it('begins nothing in the last part of a lease', async () => {
+  it('does not let the holder act within the margin before the lease expires', async () => {
     const a = start('a', '1');
     a.run();
     await clock.advance(100);
