--- a/src/membership/host_status.ts
+++ b/src/membership/host_status.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {suspectNewsSchema} from '../quarantine/index.js';
 
-/** Whether an entry host takes new work. */
+/** Whether an entry host accepts new work. */
 export const EntryHostState = {LIVE: 'live', LEAVING: 'leaving'} as const;
 export type EntryHostState =
   (typeof EntryHostState)[keyof typeof EntryHostState];
@@ -11,8 +11,8 @@
 const age = z.number().min(0);
 const state = z.enum(Object.values(EntryHostState));
 
-/** Another entry host of the sender's data centre that lives. */
-export const heardHostSchema = z.object({
+/** Another entry host of the sender's data centre that the sender can reach. */
+export const reachableHostSchema = z.object({
   host: name,
   dataCentre: name,
   address: z.string(),
@@ -25,11 +25,11 @@
   host: name,
   /** Time since it was first known to be leaving, in milliseconds. */
   ageMs: age,
-  /** Time until the platform takes it back, in ms; absent when not announced. */
+  /** Time until the platform reclaims it, in ms; absent if not announced. */
   remainingMs: z.number().optional(),
 });
 
-/** What of an engine's load report changes rarely. */
+/** The part of an engine's load report that rarely changes. */
 export const engineFactsSchema = z.object({
   server: name,
   capacity: z.number().min(0),
@@ -47,9 +47,9 @@
 });
 
 /**
- * What of an engine's load report changes all the time: name of the server,
- * age of the report in milliseconds, generations running, and waiting. A tuple,
- * as most bytes of control traffic are these.
+ * The part of an engine's load report that changes all the time: name of the server,
+ * age of the report in milliseconds, running and waiting generations. It is a tuple
+ * because these entries are most of the bytes of control traffic.
  */
 export const engineLoadSchema = z.tuple([
   name,
@@ -58,43 +58,46 @@
   z.number().min(0),
 ]);
 
-/** What changes rarely; sent when it has changed, and now and then. */
+/**
+ * The part of a heartbeat that rarely changes; sent when it has changed, and again from
+ * time to time.
+ */
 export const hostDetailSchema = z.object({
-  /** IP number and port for peers. */
+  /** IP address and port for peers. */
   address: z.string(),
-  /** Books it holds: name and fence. */
+  /** Books that the host holds: name and fencing number. */
   books: z.array(z.tuple([z.string(), z.number().int()])).max(MAX_LISTED),
-  hosts: z.array(heardHostSchema).max(MAX_LISTED),
+  hosts: z.array(reachableHostSchema).max(MAX_LISTED),
   leaving: z.array(leavingHostSchema).max(MAX_LISTED),
   engines: z.array(engineFactsSchema).max(MAX_LISTED),
 });
 
 /**
- * What a host tells its peers in each heartbeat. Who it is, the handshake of
- * the connection has shown.
+ * Heartbeat of a host to its peers. The sender is not included: the handshake of the
+ * connection identifies it.
  */
 export const heartbeatSchema = z.object({
   state,
-  /** Configuration revision in force there. */
+  /** Configuration revision in force on the sender. */
   revision: z.number().int().min(0),
   /** Lowest revision in force on the live hosts of its data centre. */
   centreRevision: z.number().int().min(0),
   /** Engines polled by the sender. */
   loads: z.array(engineLoadSchema).max(MAX_LISTED),
-  /** Requests in flight per customer, those of the sender only. */
+  /** Requests in flight per customer, on the sender only. */
   usage: z.array(z.tuple([z.string(), z.number()])).max(MAX_LISTED),
-  /** Rises when the detail changes. */
+  /** Increases when the detail changes. */
   detailVersion: z.number().int().min(0),
-  /** Present unless the receiver has said that it has this version. */
+  /** Present unless the receiver has acknowledged this version. */
   detail: hostDetailSchema.optional(),
-  /** Requests that end servers; left out while there is none. */
+  /** Requests suspected of terminating servers; omitted while there are none. */
   suspects: suspectNewsSchema.optional(),
 });
 
-/** What a host tells its peers in each heartbeat. */
+/** Heartbeat of a host to its peers. */
 export type Heartbeat = z.output<typeof heartbeatSchema>;
 
-/** A heartbeat and the host it came from. */
+/** A heartbeat and the host that sent it. */
 export interface HostStatus extends Heartbeat {
   readonly host: string;
   readonly dataCentre: string;
@@ -102,7 +105,7 @@
 }
 
 export type HostDetail = z.output<typeof hostDetailSchema>;
-export type HeardHost = z.output<typeof heardHostSchema>;
+export type ReachableHost = z.output<typeof reachableHostSchema>;
 export type LeavingHost = z.output<typeof leavingHostSchema>;
 export type EngineFacts = z.output<typeof engineFactsSchema>;
 export type EngineLoad = z.output<typeof engineLoadSchema>;
--- a/src/membership/leaving_hosts.ts
+++ b/src/membership/leaving_hosts.ts
@@ -3,22 +3,25 @@
 import {Clock} from '../time/index.js';
 import {LeavingHost} from './host_status.js';
 
-/** Why a host is known to be leaving, and since when. */
+/** Evidence that a host is leaving. */
 interface Departure {
-  /** When it was first known anywhere, on the local monotonic clock. */
+  /** When any host first learned of it, on the local monotonic clock. */
   readonly sinceMs: number;
-  /** When the platform takes it back, monotonic ms; absent if not announced. */
+  /** When the platform reclaims the host, monotonic ms; absent if not announced. */
   readonly deadlineMs?: number;
-  /** When the last evidence of it came in. */
+  /**
+   * When the platform last confirmed it, or when it was first known if the platform has
+   * not, monotonic milliseconds.
+   */
   readonly confirmedMs: number;
 }
 
-/** Time after the last evidence until a departure is forgotten, in ms. */
+/** Time after the last confirmation until a departure is dropped, in milliseconds. */
 const FORGET_MS = 120_000;
 
 /**
- * Hosts of either role that are leaving, from every source of evidence: the
- * platform's list and notices, peers' word, and operators through the records.
+ * Hosts of either role that are leaving, from every source of evidence: the platform's
+ * list and notices, reports of peers, and operators through the records.
  */
 export class LeavingHosts {
   private readonly departures = new Map<string, Departure>();
@@ -28,14 +31,14 @@
     private readonly log: Log,
   ) {}
 
-  /** Tells whether a host is leaving. */
+  /** Returns whether a host is leaving. */
   isLeaving(host: string): boolean {
     return this.departures.has(host);
   }
 
   /**
-   * Returns the notice that is left, in milliseconds; `undefined` when the
-   * host is not leaving or its end was not announced.
+   * Returns the time until a host is reclaimed, in milliseconds; `undefined` if the
+   * host is not leaving or the platform has not announced when.
    */
   getRemainingMs(host: string): number | undefined {
     const deadlineMs = this.departures.get(host)?.deadlineMs;
@@ -44,7 +47,7 @@
       : deadlineMs - this.clock.monotonicMs();
   }
 
-  /** Takes in the platform's list. */
+  /** Adds the leaving hosts of the platform's list. */
   addListed(listed: readonly ListedHost[]): void {
     for (const entry of listed) {
       if (entry.state === HostState.LEAVING) {
@@ -53,7 +56,7 @@
     }
   }
 
-  /** Takes in the platform's reclaim notices. */
+  /** Adds the hosts of the platform's reclaim notices. */
   addNotices(notices: readonly ReclaimNotice[]): void {
     const nowMs = this.clock.now().getTime();
     for (const notice of notices) {
@@ -61,14 +64,14 @@
     }
   }
 
-  /** Takes in a peer's word. */
+  /** Adds the leaving hosts that a peer reports. */
   addHeard(heard: readonly LeavingHost[], peer: string): void {
     for (const leaving of heard) {
       this.add(leaving.host, leaving.ageMs, leaving.remainingMs, peer);
     }
   }
 
-  /** Returns what to tell peers. */
+  /** Returns the leaving hosts to report to peers. */
   list(): LeavingHost[] {
     const nowMs = this.clock.monotonicMs();
     const leaving: LeavingHost[] = [];
@@ -82,7 +85,7 @@
     return leaving;
   }
 
-  /** Forgets departures of which nothing was heard for long. */
+  /** Drops departures that were not confirmed in the last `FORGET_MS`. */
   trim(): void {
     const oldestMs = this.clock.monotonicMs() - FORGET_MS;
     for (const [host, departure] of this.departures) {
@@ -98,7 +101,7 @@
     remainingMs: number | undefined,
     source: string,
   ): void {
-    // Old word that only goes round among peers must die out.
+    // Old reports must expire that peers only repeat to each other.
     if (ageMs > FORGET_MS) {
       return;
     }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -3,29 +3,29 @@
 import {Clock} from '../time/index.js';
 import {
   EntryHostState,
-  HeardHost,
+  ReachableHost,
   HostDetail,
   HostStatus,
 } from './host_status.js';
 
-/** An entry host as this host knows it. */
+/** What this host knows of an entry host. */
 export interface KnownHost {
   readonly host: string;
   readonly dataCentre: string;
   readonly address: string;
   readonly incarnation: string;
   readonly state: EntryHostState;
-  /** When it was last heard itself; monotonic ms. */
+  /** When its last own heartbeat arrived, monotonic milliseconds. */
   readonly heardMs: number;
-  /** Its last heartbeat to this host; absent when only heard of. */
+  /** Its last heartbeat to this host; absent if it is only known from others. */
   readonly status?: HostStatus;
-  /** The last detail that came with a heartbeat. */
+  /** The detail of the last heartbeat that had one. */
   readonly detail?: HostDetail;
-  /** Peer of its data centre that last said it lives. */
-  readonly vouchedBy?: string;
+  /** The peer of its data centre that last reported it as alive. */
+  readonly reportedBy?: string;
 }
 
-/** What the membership works with. */
+/** Dependencies and timing of the membership. */
 export interface MembershipOptions {
   readonly self: {
     readonly host: string;
@@ -33,26 +33,26 @@
     readonly incarnation: string;
     readonly address: string;
   };
-  /** Silence after which a host counts as dead, in milliseconds. */
+  /** Time without contact after which a host counts as dead, in milliseconds. */
   readonly deadAfterMs: number;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** Silence after which a host is forgotten, as a multiple of `deadAfterMs`. */
+/** Time without contact after which a host is dropped, as a multiple of `deadAfterMs`. */
 const FORGET_FACTOR = 30;
-/** Share of many hosts that may be away: a few always are. */
-const AWAY_SHARE = 0.1;
+/** Share of the hosts that may be unreachable: of many hosts, a few always are. */
+const MAX_UNREACHABLE_SHARE = 0.1;
 
 /**
- * The entry hosts: who lives, who is leaving, and since when.
+ * The entry hosts, with their state and whether they are alive.
  *
- * Evidence ranks by directness: a host's own heartbeat, then the word of a live
- * peer of its data centre. The platform's list only names hosts to try; it lags.
+ * The most direct evidence wins: a host's own heartbeat, then the report of a live
+ * peer of its data centre. The platform's list only names hosts to try, as it lags.
  */
 export class Membership {
   private readonly hosts = new Map<string, KnownHost>();
-  private readonly endedIncarnations = new Set<string>();
+  private readonly terminatedIncarnations = new Set<string>();
   private listed: ReadonlySet<string> | undefined;
   private ownState: EntryHostState = EntryHostState.LIVE;
 
@@ -63,58 +63,58 @@
     return this.ownState;
   }
 
-  /** Changes this host's own state. */
+  /** Sets this host's own state. */
   setOwnState(state: EntryHostState): void {
     this.ownState = state;
   }
 
-  /** Tells whether the platform's list of hosts was ever read. */
+  /** Returns whether the platform's list of hosts was ever read. */
   hasList(): boolean {
     return this.listed !== undefined;
   }
 
-  /** Returns every entry host heard of, this one not included. */
+  /** Returns every known entry host except this one. */
   listKnown(): readonly KnownHost[] {
     return [...this.hosts.values()];
   }
 
-  /** Returns a host heard of. */
+  /** Returns a known host. */
   getHost(name: string): KnownHost | undefined {
     return this.hosts.get(name);
   }
 
   /**
-   * Tells whether a host was heard within the limit, or is vouched for by a
-   * peer that was. Where hosts are linked directly their own word decides.
+   * Returns whether a host sent a heartbeat within `deadAfterMs`, or is reported alive
+   * by a peer that did. Where a host is linked directly, its own heartbeats decide.
    */
   isAlive(known: KnownHost): boolean {
-    if (known.status !== undefined || known.vouchedBy === undefined) {
-      return this.isHeard(known);
+    if (known.status !== undefined || known.reportedBy === undefined) {
+      return this.isReachable(known);
     }
-    const voucher = this.hosts.get(known.vouchedBy);
-    return voucher !== undefined && this.isHeard(voucher);
+    const reporter = this.hosts.get(known.reportedBy);
+    return reporter !== undefined && this.isReachable(reporter);
   }
 
-  private isHeard(known: KnownHost): boolean {
-    const silentMs = this.options.clock.monotonicMs() - known.heardMs;
-    return silentMs <= this.options.deadAfterMs;
+  private isReachable(known: KnownHost): boolean {
+    const sinceContactMs = this.options.clock.monotonicMs() - known.heardMs;
+    return sinceContactMs <= this.options.deadAfterMs;
   }
 
-  /** Returns the other hosts that live and take new work. */
+  /** Returns the other hosts that are alive and accept new work. */
   listLivePeers(): readonly KnownHost[] {
     return this.listKnown().filter(
       known => known.state === EntryHostState.LIVE && this.isAlive(known),
     );
   }
 
-  /** Tells whether all hosts heard of are there, or of many nearly all. */
+  /** Returns whether all known hosts are alive, or nearly all if there are many. */
   hearsOthers(): boolean {
     const known = this.listKnown();
-    const away = known.filter(host => !this.isAlive(host)).length;
-    return away <= known.length * AWAY_SHARE;
+    const unreachable = known.filter(host => !this.isAlive(host)).length;
+    return unreachable <= known.length * MAX_UNREACHABLE_SHARE;
   }
 
-  /** Returns the names of hosts that live and take new work, own included. */
+  /** Returns the names of hosts that are alive and accept new work, own included. */
   listLiveNames(): readonly string[] {
     const names = this.listLivePeers().map(known => known.host);
     if (this.ownState === EntryHostState.LIVE) {
@@ -123,7 +123,7 @@
     return names;
   }
 
-  /** Returns the names of the live hosts of this data centre, own included. */
+  /** Returns the names of live hosts of this data centre; always includes this host. */
   listLiveNamesHere(): readonly string[] {
     const {dataCentre, host} = this.options.self;
     const names = [host];
@@ -135,16 +135,16 @@
     return names;
   }
 
-  /** Tells whether a start of a host is known to have ended. */
+  /** Returns whether an incarnation of a host is known to have terminated. */
   isGone(host: string, incarnation: string): boolean {
     const {self} = this.options;
     if (host === self.host) {
       return incarnation !== self.incarnation;
     }
-    return this.endedIncarnations.has(`${host}/${incarnation}`);
+    return this.terminatedIncarnations.has(`${host}/${incarnation}`);
   }
 
-  /** Takes in a heartbeat that came from the host itself. */
+  /** Processes a heartbeat that a host sent to this host. */
   addStatus(status: HostStatus): void {
     if (status.host === this.options.self.host) {
       return;
@@ -163,11 +163,11 @@
       ...(detail === undefined ? {} : {detail}),
     });
     if (status.detail !== undefined) {
-      this.setVouched(status.host, status.detail.hosts);
+      this.setReported(status.host, status.detail.hosts);
     }
   }
 
-  /** Takes in the platform's list: only names that are new matter. */
+  /** Processes the platform's list: only names that are not yet known matter. */
   addListed(listed: readonly ListedHost[]): void {
     this.listed = new Set(listed.map(entry => entry.name));
     for (const entry of listed) {
@@ -190,27 +190,27 @@
   }
 
   /**
-   * Forgets hosts that have been silent for long and that the platform no
-   * longer lists; one that is listed may only be cut off.
+   * Drops hosts that have sent no heartbeat for long, are not reported alive, and are
+   * no longer listed by the platform; a listed host may only be partitioned.
    */
   trim(): void {
     const {clock, deadAfterMs} = this.options;
     const oldestMs = clock.monotonicMs() - deadAfterMs * FORGET_FACTOR;
     for (const known of this.hosts.values()) {
-      const silent = known.heardMs < oldestMs && !this.isAlive(known);
-      if (silent && this.listed?.has(known.host) !== true) {
+      const isUnreachable = known.heardMs < oldestMs && !this.isAlive(known);
+      if (isUnreachable && this.listed?.has(known.host) !== true) {
         this.hosts.delete(known.host);
       }
     }
   }
 
-  /** Returns what to tell peers: the other live hosts of this data centre. */
-  listHeard(): HeardHost[] {
-    const heard: HeardHost[] = [];
+  /** Returns the hosts to report to peers: those reachable in this data centre. */
+  listHeard(): ReachableHost[] {
+    const reachable: ReachableHost[] = [];
     for (const known of this.hosts.values()) {
       const here = known.dataCentre === this.options.self.dataCentre;
-      if (here && known.status !== undefined && this.isHeard(known)) {
-        heard.push({
+      if (here && known.status !== undefined && this.isReachable(known)) {
+        reachable.push({
           host: known.host,
           dataCentre: known.dataCentre,
           address: known.address,
@@ -219,13 +219,13 @@
         });
       }
     }
-    heard.sort((a, b) => (a.host < b.host ? -1 : 1));
-    return heard;
+    reachable.sort((a, b) => (a.host < b.host ? -1 : 1));
+    return reachable;
   }
 
   /**
    * Returns the lowest revision in force on the live hosts of this data centre.
-   * @param ownRevision - Revision in force on this host.
+   * @param ownRevision - Configuration revision in force on this host.
    */
   getCentreRevision(ownRevision: number): number {
     let lowest = ownRevision;
@@ -238,36 +238,39 @@
     return lowest;
   }
 
-  /** Takes over which hosts a peer says are alive. */
-  private setVouched(voucher: string, vouched: readonly HeardHost[]): void {
-    const names = new Set(vouched.map(heard => heard.host));
+  /** Replaces the hosts that a peer reports as alive. */
+  private setReported(
+    reporter: string,
+    reported: readonly ReachableHost[],
+  ): void {
+    const names = new Set(reported.map(reachable => reachable.host));
     for (const known of this.hosts.values()) {
-      if (known.vouchedBy === voucher && !names.has(known.host)) {
-        const {vouchedBy: _vouchedBy, ...rest} = known;
+      if (known.reportedBy === reporter && !names.has(known.host)) {
+        const {reportedBy: _reportedBy, ...rest} = known;
         this.hosts.set(known.host, rest);
       }
     }
-    for (const heard of vouched) {
-      if (heard.host !== this.options.self.host) {
-        this.addVouched(voucher, heard);
+    for (const reachable of reported) {
+      if (reachable.host !== this.options.self.host) {
+        this.addReported(reporter, reachable);
       }
     }
   }
 
-  private addVouched(voucher: string, heard: HeardHost): void {
-    const known = this.hosts.get(heard.host);
-    if (known?.incarnation === heard.incarnation) {
-      this.hosts.set(heard.host, {...known, vouchedBy: voucher});
+  private addReported(reporter: string, reachable: ReachableHost): void {
+    const known = this.hosts.get(reachable.host);
+    if (known?.incarnation === reachable.incarnation) {
+      this.hosts.set(reachable.host, {...known, reportedBy: reporter});
       return;
     }
     if (known !== undefined && this.isAlive(known)) {
-      // Its own word, or an earlier voucher's, stands until it falls silent.
+      // Its own heartbeat, or an earlier peer's report, counts until it expires.
       return;
     }
     this.set({
-      ...heard,
+      ...reachable,
       heardMs: Number.NEGATIVE_INFINITY,
-      vouchedBy: voucher,
+      reportedBy: reporter,
     });
   }
 
@@ -278,7 +281,7 @@
         return;
       }
       if (known !== undefined && known.incarnation !== '') {
-        this.endedIncarnations.add(`${known.host}/${known.incarnation}`);
+        this.terminatedIncarnations.add(`${known.host}/${known.incarnation}`);
       }
       this.options.log.info('host_known', {
         peer: next.host,
