--- a/src/changes/change_words.ts
+++ b/src/changes/change_words.ts
@@ -1,66 +1,71 @@
 import {PeerIdentity} from '../peer/index.js';
 
-/** Changes up to a version. */
+/** A page of changes, complete up to a version. */
 export interface ChangePage {
   readonly version: number;
 }
 
-/** Changes up to a version, and the receiver's version that the sender has heard. */
-export type HeardPage<Page extends ChangePage> = Page & {
+/** A page of changes, and the version of the receiver that the sender has received. */
+export type AcknowledgingPage<Page extends ChangePage> = Page & {
   readonly heard: number;
 };
 
-/** What changes at this host, and takes in what peers tell. */
+/** Versioned state of this host that is exchanged with peers. */
 export interface ChangeSource<Page extends ChangePage> {
-  /** Returns the version that the last change made; 0 before the first. */
+  /** Returns the version after the last change; 0 before the first. */
   readonly getVersion: () => number;
-  /** Tells what has changed since a version. */
+  /** Lists what has changed since a version. */
   readonly listSince: (version: number) => Page;
-  /** Takes in what a peer tells. */
+  /** Merges the changes that a peer sent. */
   readonly merge: (page: Page, from: PeerIdentity) => void;
 }
 
-/** Starts of peers that are remembered with what was heard of them. */
-const MAX_STARTS = 4096;
+/** Maximum number of peer incarnations whose received version is kept. */
+const MAX_INCARNATIONS = 4096;
 
 /**
- * Changes from peer to peer: each host tells each that it is linked with what changed
- * since that one last acknowledged, its own and what it heard.
+ * Exchanges changes with peers: each host sends each linked peer what has changed since
+ * the version that this peer last acknowledged, both its own changes and those that it
+ * received from others.
  */
 export class ChangeWords<Page extends ChangePage> {
-  /** Version heard of a peer, by host and start. */
-  private readonly heard = new Map<string, number>();
+  /** Last version received from a peer, by host and incarnation. */
+  private readonly received = new Map<string, number>();
 
   constructor(private readonly source: ChangeSource<Page>) {}
 
   /**
-   * Makes what is told with a heartbeat or a reply; nothing while nothing has changed.
-   * @param peer - Whom it is for.
-   * @param acknowledged - What the peer told last of what it has heard.
+   * Creates the changes to send with a heartbeat or a reply; `undefined` while there
+   * are none on either side.
+   * @param peer - The receiver.
+   * @param acknowledged - The version that the peer last acknowledged.
    */
   create(
     peer: PeerIdentity,
     acknowledged: {readonly heard: number} | undefined,
-  ): HeardPage<Page> | undefined {
-    const heard = this.heard.get(toKey(peer)) ?? 0;
-    if (this.source.getVersion() === 0 && heard === 0) {
+  ): AcknowledgingPage<Page> | undefined {
+    const received = this.received.get(toKey(peer)) ?? 0;
+    if (this.source.getVersion() === 0 && received === 0) {
       return undefined;
     }
-    return {...this.source.listSince(acknowledged?.heard ?? 0), heard};
+    return {
+      ...this.source.listSince(acknowledged?.heard ?? 0),
+      heard: received,
+    };
   }
 
-  /** Takes in what a peer tells. */
+  /** Merges the changes that a peer sent, and keeps their version to acknowledge it. */
   receive(from: PeerIdentity, page: Page | undefined): void {
     if (page === undefined) {
       return;
     }
     this.source.merge(page, from);
     const key = toKey(from);
-    this.heard.delete(key);
-    this.heard.set(key, page.version);
-    const [oldest] = this.heard.keys();
-    if (this.heard.size > MAX_STARTS && oldest !== undefined) {
-      this.heard.delete(oldest);
+    this.received.delete(key);
+    this.received.set(key, page.version);
+    const [oldest] = this.received.keys();
+    if (this.received.size > MAX_INCARNATIONS && oldest !== undefined) {
+      this.received.delete(oldest);
     }
   }
 }
--- a/src/changes/index.ts
+++ b/src/changes/index.ts
@@ -1,5 +1,9 @@
-/** Changes that hosts tell each other once, each what it knows and has heard. */
+/** Exchange of changes between hosts, each sent once per receiver. */
 export {ChangeWords} from './change_words.js';
-export type {ChangePage, ChangeSource, HeardPage} from './change_words.js';
+export type {
+  ChangePage,
+  ChangeSource,
+  AcknowledgingPage,
+} from './change_words.js';
 export {listChangedSince} from './list_changed_since.js';
-export type {ChangedEntries, ChangeQuestion} from './list_changed_since.js';
+export type {ChangedEntries, ChangeQuery} from './list_changed_since.js';
--- a/src/changes/list_changed_since.ts
+++ b/src/changes/list_changed_since.ts
@@ -1,14 +1,14 @@
-/** Which changes are asked for. */
-export interface ChangeQuestion {
-  /** Version up to which the receiver knows all. */
+/** Which changes are requested. */
+export interface ChangeQuery {
+  /** Version up to which the receiver has all changes. */
   readonly since: number;
   /** Version of the last change. */
   readonly latest: number;
-  /** Entries to list, at most. */
+  /** Maximum number of entries to list. */
   readonly most: number;
 }
 
-/** Entries that have changed, and the version up to which these are all. */
+/** Entries that have changed, and the version up to which the list is complete. */
 export interface ChangedEntries<Entry> {
   readonly version: number;
   readonly changed: readonly (readonly [name: string, entry: Entry])[];
@@ -17,14 +17,14 @@
 /**
  * Lists what has changed since a version, the oldest changes first.
  * @param entries - All entries, the least recently changed first.
- * @param question - Which changes.
+ * @param query - Which changes to list.
  */
 export function listChangedSince<Entry extends {readonly version: number}>(
   entries: ReadonlyMap<string, Entry>,
-  {since, latest, most}: ChangeQuestion,
+  {since, latest, most}: ChangeQuery,
 ): ChangedEntries<Entry> {
   if (since === latest) {
-    // So it is with nearly every heartbeat.
+    // Fast path: nearly every heartbeat has no changes.
     return {version: latest, changed: []};
   }
   const changed: (readonly [string, Entry])[] = [];
