--- a/src/peering/row_words.ts
+++ b/src/peering/row_words.ts
@@ -8,7 +8,7 @@
   RowChanges,
   rowChangesSchema,
   RowReplica,
-  ToldState,
+  ForwardPosition,
 } from '../replica/index.js';
 import {Clock} from '../time/index.js';
 import {ReadAge} from './read_age.js';
@@ -62,7 +62,7 @@
 export class RowWords {
   private readonly pulling = new Set<string>();
   /** What was passed on last, by replica. */
-  private readonly passed = new Map<string, ToldState>();
+  private readonly passed = new Map<string, ForwardPosition>();
   /** Replicas whose changes are being gathered, and whether any was read here. */
   private readonly gathering = new Map<string, boolean>();
   /** Version at which a difference from a peer was last reported, by replica. */
@@ -165,8 +165,8 @@
     await this.options.clock.sleep(GATHER_MS);
     const isFirst = this.gathering.get(name) === true;
     this.gathering.delete(name);
-    const changes = replica.listChangesBeyond(this.passed.get(name));
-    this.passed.set(name, replica.getToldState());
+    const changes = replica.listChangesToForward(this.passed.get(name));
+    this.passed.set(name, replica.getForwardPosition());
     const body: z.input<typeof rowsSchema> = {
       kind: 'rows',
       replica: name,
--- a/src/replica/index.ts
+++ b/src/replica/index.ts
@@ -1,4 +1,4 @@
-/** Replicas: copies of tables that are fed by the table and by peers. */
+/** Replicas: copies of tables that are updated from the table and from peers. */
 export {replicaStateSchema} from './replica_state.js';
 export type {ReplicaState} from './replica_state.js';
 export {rowChangesSchema} from './row_changes.js';
@@ -8,7 +8,7 @@
   RowListener,
   RowReplicaOptions,
   TableChanges,
-  ToldState,
+  ForwardPosition,
 } from './row_replica.js';
 export {versionedRowSchema} from './versioned_row.js';
 export type {VersionedRow} from './versioned_row.js';
--- a/src/replica/row_digest.ts
+++ b/src/replica/row_digest.ts
@@ -1,33 +1,33 @@
 import {hashText} from '../random/index.js';
 
-/** Values that a digest can have: it stays a whole number of 32 bits. */
+/** Number of possible digests: a digest is an unsigned 32-bit integer. */
 const MODULUS = 2 ** 32;
 const SEPARATOR = '\n';
 
 /**
- * A number that stands for the rows of a table and their substance, in any order:
- * replicas that hold the same have the same one, so that they need not send each
- * other rows to find that out.
+ * Digest of the rows of a table and their significant content, independent of their
+ * order. Replicas with the same rows have the same digest, so they can compare
+ * themselves without sending each other the rows.
  */
 export class RowDigest {
   private sum = 0;
 
-  /** Returns the number. */
+  /** Returns the digest. */
   get(): number {
     return this.sum;
   }
 
-  /** Takes in a row that now stands in the table. */
-  add(key: string, substance: string): void {
-    this.sum = (this.sum + hashRow(key, substance)) % MODULUS;
+  /** Adds a row that is now in the table. */
+  add(key: string, content: string): void {
+    this.sum = (this.sum + hashRow(key, content)) % MODULUS;
   }
 
-  /** Takes out a row as it stood before. */
-  remove(key: string, substance: string): void {
-    this.sum = (this.sum + MODULUS - hashRow(key, substance)) % MODULUS;
+  /** Removes a row with the content that it had when it was added. */
+  remove(key: string, content: string): void {
+    this.sum = (this.sum + MODULUS - hashRow(key, content)) % MODULUS;
   }
 }
 
-function hashRow(key: string, substance: string): number {
-  return hashText(key + SEPARATOR + substance);
+function hashRow(key: string, content: string): number {
+  return hashText(key + SEPARATOR + content);
 }
--- a/src/replica/row_replica.ts
+++ b/src/replica/row_replica.ts
@@ -3,107 +3,110 @@
 import {RowDigest} from './row_digest.js';
 import {VersionedRow} from './versioned_row.js';
 
-/** Called with a row whose content has changed. */
+/** Called with a row whose significant content has changed. */
 export type RowListener = (row: VersionedRow, source: string) => void;
 
-/** What a replica works with. */
+/** Options of a replica. */
 export interface RowReplicaOptions {
   /**
-   * Returns what of a row matters; a row that differs in nothing else is not
-   * news for peers.
+   * Returns the significant content of a row; a row that differs only in the rest is
+   * no update for peers.
    */
   readonly getSubstance: (text: string) => string;
 }
 
-/** Rows that changed between two versions of a table, as the table told. */
+/** Rows that changed between two versions of a table, as read from the table. */
 export interface TableChanges {
   readonly rows: readonly VersionedRow[];
-  /** Version after which these are all that changed. */
+  /** The rows are all that changed after this version. */
   readonly after: number;
-  /** Version up to which they are. */
+  /** Version up to which the rows are complete. */
   readonly version: number;
 }
 
-/** What was told last to others, to go on from. */
-export interface ToldState {
-  /** Version up to which they were told. */
+/** Position up to which changes were forwarded to peers. */
+export interface ForwardPosition {
+  /** Version up to which changes were forwarded. */
   readonly version: number;
-  /** See `HeldRow.changeNumber`. */
+  /** See `StoredRow.changeNumber`. */
   readonly changeNumber: number;
 }
 
-/** A row, and since when its substance stands. */
-interface HeldRow {
+/** A row, and when its significant content last changed. */
+interface StoredRow {
   readonly row: VersionedRow;
-  /** What of the row matters; absent for a removed one. */
-  readonly substance: string | undefined;
-  /** Version of the table at which the substance became so. */
-  readonly newsVersion: number;
-  /** Counts the changes of substance in the order in which they came here. */
+  /** The significant content; `undefined` for a removed row. */
+  readonly content: string | undefined;
+  /** Table version at which the significant content last changed. */
+  readonly contentVersion: number;
+  /** Number of this change, in the order in which changes arrived at this replica. */
   readonly changeNumber: number;
 }
 
-/** Removed rows remembered; the oldest are forgotten beyond. */
+/** Maximum number of removed rows kept; the oldest are dropped beyond that. */
 const MAX_REMOVED = 1000;
 
 /**
- * A copy of one table, fed by the table and by peers in any order.
+ * Copy of one table, updated from the table and from peers in any order.
  *
- * Rows are merged by version, so a late, stale or repeated answer never takes
- * a row back. Which version the copy is complete up to is kept apart from the rows
- * it has: a later row tells nothing of an earlier one that was missed.
+ * Rows are merged by version, so a delayed, stale or repeated answer never reverts a
+ * row. The version up to which the copy is complete is kept separately from the rows:
+ * having a later row does not mean that no earlier one was missed.
  */
 export class RowReplica {
-  private readonly rows = new Map<string, HeldRow>();
+  private readonly rows = new Map<string, StoredRow>();
   private readonly listeners: RowListener[] = [];
   private readonly digest = new RowDigest();
-  /** Rows that may be gone, each with the version at which it was known. */
-  private readonly doubted = new Map<string, number>();
-  /** Version up to which every change in substance is merged. */
+  /** Rows that may have been removed, each with its last known version. */
+  private readonly inDoubt = new Map<string, number>();
+  /** Version up to which every change of significant content is merged. */
   private completeVersion = 0;
-  /** Version at which the whole table was read here last. */
+  /** Version of the last reading of the whole table by this host. */
   private readVersion = 0;
-  /** Version after which every removal is remembered. */
+  /** Version after which every removal is kept. */
   private rememberedVersion = 0;
-  /** Highest version at which anything changed in substance. */
+  /** Highest version known to contain a change of significant content. */
   private changedVersion = 0;
   private changeNumber = 0;
   private removedCount = 0;
 
   constructor(private readonly options: RowReplicaOptions) {}
 
-  /** Has a function called for each row whose substance changes. */
+  /** Registers a listener for rows whose significant content changes. */
   addListener(listener: RowListener): void {
     this.listeners.push(listener);
   }
 
   /**
-   * Returns the version up to which all that changed in substance is merged; rows
-   * in doubt may have changed since they were known.
+   * Returns the version up to which all changes of significant content are merged. Rows
+   * in doubt limit it to their last known version, as they may have changed since.
    */
   getNewsVersion(): number {
     const known = Math.min(this.completeVersion, this.changedVersion);
-    return Math.min(known, ...this.doubted.values());
+    return Math.min(known, ...this.inDoubt.values());
   }
 
-  /** Returns what this replica holds, to tell peers. */
+  /** Returns the version and digest to report to peers. */
   getState(): ReplicaState {
     return {version: this.getNewsVersion(), digest: this.digest.get()};
   }
 
-  /** Notes that a row may be gone: peers who know are asked until it is told. */
+  /**
+   * Marks a row as possibly removed. This lowers the version of the replica, so that
+   * peers are asked for later changes until one settles the question.
+   */
   doubt(key: string): void {
-    const held = this.rows.get(key);
-    if (held?.row.text !== undefined) {
-      this.doubted.set(key, held.row.version);
+    const stored = this.rows.get(key);
+    if (stored?.row.text !== undefined) {
+      this.inDoubt.set(key, stored.row.version);
     }
   }
 
   /**
-   * Marks rows as doubted that a reading of the table lacks.
-   * @param rows - All rows.
-   * @param version - Version of the table they were read at.
-   * @returns Whether the reading lacks none of the rows held.
+   * Marks stored rows as possibly removed that a reading of the table lacks.
+   * @param rows - All rows of the reading.
+   * @param version - Table version of the reading.
+   * @returns Whether the reading has all the rows stored up to its version.
    */
   doubtMissing(rows: readonly VersionedRow[], version: number): boolean {
     const missing = this.listMissingKeys(rows, version);
@@ -113,21 +116,23 @@
     return missing.length === 0;
   }
 
-  /** Returns a row that exists. */
+  /** Returns the text of a row; `undefined` if it does not exist. */
   getText(key: string): string | undefined {
     return this.rows.get(key)?.row.text;
   }
 
   /**
-   * Tells a peer what changed in substance after a version; the whole table where
-   * removals since then may have been missed or forgotten.
+   * Lists the rows whose significant content changed after a version, or the whole table
+   * if removals after that version may have been missed or dropped.
    */
   listChangesSince(version: number): RowChanges {
     const isWhole = version < this.rememberedVersion;
     const rows: VersionedRow[] = [];
-    for (const {row, newsVersion} of this.rows.values()) {
-      const isTold = isWhole ? row.text !== undefined : newsVersion > version;
-      if (isTold) {
+    for (const {row, contentVersion} of this.rows.values()) {
+      const isIncluded = isWhole
+        ? row.text !== undefined
+        : contentVersion > version;
+      if (isIncluded) {
         rows.push(row);
       }
     }
@@ -136,41 +141,42 @@
   }
 
   /**
-   * Tells peers what came here since they were told last, late or not.
-   * @param told - What they were told last; nothing at first.
+   * Lists the changes that arrived since the last ones were forwarded, including rows of
+   * earlier versions that arrived late.
+   * @param position - Position after the last forwarding; `undefined` at first.
    */
-  listChangesBeyond(told: ToldState | undefined): RowChanges {
-    const after = Math.max(told?.version ?? 0, this.rememberedVersion);
+  listChangesToForward(position: ForwardPosition | undefined): RowChanges {
+    const after = Math.max(position?.version ?? 0, this.rememberedVersion);
     const rows: VersionedRow[] = [];
-    for (const held of this.rows.values()) {
-      const isLate = held.changeNumber > (told?.changeNumber ?? 0);
-      if (isLate || held.newsVersion > after) {
-        rows.push(held.row);
+    for (const stored of this.rows.values()) {
+      const isRecent = stored.changeNumber > (position?.changeNumber ?? 0);
+      if (isRecent || stored.contentVersion > after) {
+        rows.push(stored.row);
       }
     }
     return {rows, after, state: this.getState()};
   }
 
-  /** Returns where `listChangesBeyond` is to go on after what it tells now. */
-  getToldState(): ToldState {
+  /** Returns the position from which the next `listChangesToForward` is to continue. */
+  getForwardPosition(): ForwardPosition {
     return {version: this.getNewsVersion(), changeNumber: this.changeNumber};
   }
 
   /**
-   * Merges one row, which tells nothing of any other.
-   * @param row - What was heard.
-   * @param source - Where from, for the log.
+   * Merges a single row; says nothing about the other rows.
+   * @param row - The row.
+   * @param source - Origin of the row, passed to the listeners.
    */
   add(row: VersionedRow, source: string): void {
-    const held = this.rows.get(row.key);
-    const knownVersion = held?.row.version ?? this.getAbsentVersion();
+    const stored = this.rows.get(row.key);
+    const knownVersion = stored?.row.version ?? this.getAbsentVersion();
     if (row.version <= knownVersion) {
       return;
     }
-    this.doubted.delete(row.key);
-    const substance = this.readSubstance(row);
-    const isChanged = held === undefined || held.substance !== substance;
-    this.hold(row, substance, held);
+    this.inDoubt.delete(row.key);
+    const content = this.readContent(row);
+    const isChanged = stored === undefined || stored.content !== content;
+    this.store(row, content, stored);
     if (!isChanged) {
       return;
     }
@@ -182,12 +188,13 @@
   }
 
   /**
-   * Merges the whole table as it was read at one version, without taking what it lacks
-   * for removed here; what others tell of rows from before that it lacks counts no more.
-   * @param rows - All rows.
-   * @param version - Version of the table they were read at.
-   * @param source - Where from, for the log.
-   * @returns Whether the reading lacks none of the rows held.
+   * Merges a reading of the whole table. Stored rows that it lacks are not removed here;
+   * rows that are not stored and not in the reading are no longer accepted from peers up
+   * to the version of the reading.
+   * @param rows - All rows of the reading.
+   * @param version - Table version of the reading.
+   * @param source - Origin of the rows, passed to the listeners.
+   * @returns Whether the reading has all the rows stored up to its version.
    */
   addReading(
     rows: readonly VersionedRow[],
@@ -198,15 +205,15 @@
       this.add(row, source);
     }
     this.readVersion = Math.max(this.readVersion, version);
-    // Removals of absent rows up to this version are ignored, and so cannot be listed.
+    // Removals of absent rows up to this version are ignored and cannot be listed.
     this.rememberedVersion = Math.max(this.rememberedVersion, version);
     return this.listMissingKeys(rows, version).length === 0;
   }
 
   /**
-   * Merges what the table told of its changes.
+   * Merges changes read from the table.
    * @param changes - The changes.
-   * @param source - Where from, for the log.
+   * @param source - Origin of the changes, passed to the listeners.
    */
   addChanges({rows, after, version}: TableChanges, source: string): void {
     for (const row of rows) {
@@ -218,30 +225,31 @@
   }
 
   /**
-   * Merges what a peer told.
-   * @param changes - What it told.
-   * @param source - Which peer, for the log.
-   * @returns Whether nothing that the peer has is missing here.
+   * Merges changes that a peer sent.
+   * @param changes - The changes.
+   * @param source - The peer, passed to the listeners.
+   * @returns Whether this replica now has everything that the peer has.
    */
   addTold({rows, after, state}: RowChanges, source: string): boolean {
     if (after === undefined) {
       this.addSnapshot(rows, state.version, source);
       return true;
     }
-    const goesOn = after <= this.completeVersion;
+    const isContiguous = after <= this.completeVersion;
     for (const row of rows) {
       this.add(row, source);
     }
-    if (goesOn) {
+    if (isContiguous) {
       this.completeVersion = Math.max(this.completeVersion, state.version);
       this.changedVersion = Math.max(this.changedVersion, state.version);
     }
-    return goesOn || this.confirm(state);
+    return isContiguous || this.confirm(state);
   }
 
   /**
-   * Tells whether this replica holds what a peer's does, and notes that it is as
-   * complete then, though it may not know what came and went between.
+   * Returns whether this replica has the same rows as a peer's. If so, it becomes
+   * complete up to the peer's version, though it may have missed rows that were added
+   * and removed in between.
    */
   confirm(state: ReplicaState): boolean {
     if (!this.hasSameRows(state)) {
@@ -252,17 +260,18 @@
   }
 
   /**
-   * Merges the whole table as it was at one version: what it lacks was removed.
+   * Merges the whole table as of one version: stored rows that it lacks are removed,
+   * unless they are newer.
    * @param rows - All rows.
-   * @param version - Version of the table they were read at.
-   * @param source - Where from, for the log.
+   * @param version - Table version of the rows.
+   * @param source - Origin of the rows, passed to the listeners.
    */
   addSnapshot(
     rows: readonly VersionedRow[],
     version: number,
     source: string,
   ): void {
-    this.doubted.clear();
+    this.inDoubt.clear();
     const present = new Set<string>();
     for (const row of rows) {
       present.add(row.key);
@@ -277,8 +286,8 @@
   }
 
   /**
-   * Notes that this holds what the table held at a version, though it may not know
-   * what came and went before.
+   * Marks this replica as having the rows of the table at a version, though it may have
+   * missed rows that were added and removed before.
    */
   setComplete(version: number): void {
     if (version <= this.completeVersion) {
@@ -289,12 +298,12 @@
     this.rememberedVersion = Math.max(this.rememberedVersion, version);
   }
 
-  /** Tells whether this replica has the same digest as another. */
+  /** Returns whether this replica has the same digest as another. */
   hasSameRows({digest}: ReplicaState): boolean {
     return this.digest.get() === digest;
   }
 
-  /** Lists the keys of rows held, up to its version, that a reading lacks. */
+  /** Lists the keys of stored rows, up to a reading's version, that the reading lacks. */
   private listMissingKeys(
     rows: readonly VersionedRow[],
     version: number,
@@ -310,48 +319,48 @@
     return missing;
   }
 
-  /** Returns the version up to which a row that is not held was removed again. */
+  /** Returns the version up to which a row that is not stored is known to be absent. */
   private getAbsentVersion(): number {
     return Math.max(this.completeVersion, this.readVersion);
   }
 
-  private readSubstance({text}: VersionedRow): string | undefined {
+  private readContent({text}: VersionedRow): string | undefined {
     return text === undefined ? undefined : this.options.getSubstance(text);
   }
 
-  /** Holds a row in place of what was held before, the latest last. */
-  private hold(
+  /** Stores a row in place of its previous version; the latest row is the last. */
+  private store(
     row: VersionedRow,
-    substance: string | undefined,
-    before: HeldRow | undefined,
+    content: string | undefined,
+    before: StoredRow | undefined,
   ): void {
     this.rows.delete(row.key);
-    if (before !== undefined && before.substance === substance) {
+    if (before !== undefined && before.content === content) {
       this.rows.set(row.key, {...before, row});
       return;
     }
-    this.takeOut(row.key, before);
+    this.subtractFromTotals(row.key, before);
     this.rows.set(row.key, {
       row,
-      substance,
-      newsVersion: row.version,
+      content,
+      contentVersion: row.version,
       changeNumber: ++this.changeNumber,
     });
-    if (substance === undefined) {
+    if (content === undefined) {
       this.removedCount++;
     } else {
-      this.digest.add(row.key, substance);
+      this.digest.add(row.key, content);
     }
   }
 
-  private takeOut(key: string, held: HeldRow | undefined): void {
-    if (held === undefined) {
+  private subtractFromTotals(key: string, stored: StoredRow | undefined): void {
+    if (stored === undefined) {
       return;
     }
-    if (held.substance === undefined) {
+    if (stored.content === undefined) {
       this.removedCount--;
     } else {
-      this.digest.remove(key, held.substance);
+      this.digest.remove(key, stored.content);
     }
   }
 
@@ -359,11 +368,14 @@
     if (this.removedCount <= MAX_REMOVED) {
       return;
     }
-    for (const [key, {row, newsVersion}] of this.rows) {
+    for (const [key, {row, contentVersion}] of this.rows) {
       if (row.text === undefined) {
         this.rows.delete(key);
         this.removedCount--;
-        this.rememberedVersion = Math.max(this.rememberedVersion, newsVersion);
+        this.rememberedVersion = Math.max(
+          this.rememberedVersion,
+          contentVersion,
+        );
         return;
       }
     }
--- a/test/replica/row_replica_test.ts
+++ b/test/replica/row_replica_test.ts
@@ -2,45 +2,47 @@
 import {RowReplica} from '../../src/replica/index.js';
 
 describe('RowReplica', () => {
-  /** Makes a replica whose rows matter up to the first "#". */
+  /** Creates a replica; the significant content of a row ends at the first "#". */
   function create() {
-    const heard: string[] = [];
+    const changes: string[] = [];
     const replica = new RowReplica({
       getSubstance: text => text.split('#')[0] ?? '',
     });
-    replica.addListener(row => heard.push(`${row.key}=${row.text ?? 'gone'}`));
-    return {replica, heard};
+    replica.addListener(row =>
+      changes.push(`${row.key}=${row.text ?? 'removed'}`),
+    );
+    return {replica, changes};
   }
 
   describe('add', () => {
-    it('never takes a row back to a lower version', () => {
-      const {replica, heard} = create();
+    it('never reverts a row to a lower version', () => {
+      const {replica, changes} = create();
       replica.add({key: 'a', version: 5, text: 'new'}, 'store');
       replica.add({key: 'a', version: 4, text: 'old'}, 'peer');
       expect(replica.getText('a')).to.equal('new');
-      expect(heard).to.deep.equal(['a=new']);
+      expect(changes).to.deep.equal(['a=new']);
     });
 
-    it('keeps a removal against a late row', () => {
+    it('keeps a row removed when an older version of it arrives', () => {
       const {replica} = create();
       replica.add({key: 'a', version: 5}, 'store');
       replica.add({key: 'a', version: 4, text: 'late'}, 'peer');
       expect(replica.getText('a')).to.equal(undefined);
     });
 
-    it('makes no news of a heartbeat', () => {
-      const {replica, heard} = create();
+    it('does not report a heartbeat, which changes no significant content', () => {
+      const {replica, changes} = create();
       const first = {key: 'a', version: 1, text: 'x#1'};
       replica.addChanges({rows: [first], after: 0, version: 1}, 'store');
       const beat = {key: 'a', version: 2, text: 'x#2'};
       replica.addChanges({rows: [beat], after: 1, version: 2}, 'store');
-      expect(heard).to.have.length(1);
+      expect(changes).to.have.length(1);
       expect(replica.getNewsVersion()).to.equal(1);
     });
   });
 
   describe('addReading', () => {
-    it('takes no row from a peer that was gone when the table was read', () => {
+    it('ignores a peer’s row that was already removed when the table was read', () => {
       const {replica} = create();
       const b = {key: 'b', version: 2, text: 'y'};
       replica.addReading([b], 7, 'store');
@@ -51,7 +53,7 @@
       expect(replica.getNewsVersion()).to.equal(0);
     });
 
-    it('has peers remove rows that it lacked, even after an older snapshot', () => {
+    it('passes on the removal of a row it lacked, even after an older snapshot', () => {
       const {replica} = create();
       const a = {key: 'a', version: 5, text: 'left'};
       const b = {key: 'b', version: 2, text: 'y'};
@@ -69,15 +71,15 @@
   });
 
   describe('addSnapshot', () => {
-    it('removes what the table no longer has', () => {
-      const {replica, heard} = create();
+    it('removes rows that the table no longer has', () => {
+      const {replica, changes} = create();
       replica.add({key: 'a', version: 1, text: 'x'}, 'store');
       replica.add({key: 'b', version: 2, text: 'y'}, 'store');
       replica.addSnapshot([{key: 'b', version: 2, text: 'y'}], 7, 'store');
-      expect(heard.at(-1)).to.equal('a=gone');
+      expect(changes.at(-1)).to.equal('a=removed');
     });
 
-    it('does not remove by a stale read what came later', () => {
+    it('does not remove rows that are newer than the snapshot', () => {
       const {replica} = create();
       replica.add({key: 'a', version: 9, text: 'x'}, 'peer');
       replica.addSnapshot([], 7, 'store');
@@ -85,8 +87,8 @@
     });
   });
 
-  describe('doubt', () => {
-    /** Makes a replica that doubts "a", known at 3, and is complete up to 9. */
+  describe('rows in doubt', () => {
+    /** Creates a replica complete up to 9 in which "a", known at 3, is in doubt. */
     function createInDoubt() {
       const {replica} = create();
       const a = {key: 'a', version: 3, text: 'x'};
@@ -97,20 +99,20 @@
       return replica;
     }
 
-    it('leaves the row, and has peers asked again for what came since', () => {
+    it('keeps the row, and lowers the version to the last known one of the row', () => {
       const replica = createInDoubt();
       expect(replica.getText('a')).to.equal('x');
       expect(replica.getNewsVersion()).to.equal(3);
     });
 
-    it('ends with a peer’s word of the removal', () => {
+    it('is resolved when a peer reports the removal', () => {
       const replica = createInDoubt();
       replica.add({key: 'a', version: 7}, 'peer');
       expect(replica.getText('a')).to.equal(undefined);
       expect(replica.getNewsVersion()).to.equal(9);
     });
 
-    it('ends with a whole reading of the table', () => {
+    it('is resolved by a snapshot of the table', () => {
       const {replica} = create();
       replica.add({key: 'a', version: 3, text: 'x'}, 'store');
       replica.doubt('a');
@@ -120,7 +122,7 @@
   });
 
   describe('listChangesSince', () => {
-    it('lists what changed in substance', () => {
+    it('lists rows whose significant content changed', () => {
       const {replica} = create();
       replica.add({key: 'a', version: 1, text: 'x#1'}, 'store');
       replica.add({key: 'b', version: 2, text: 'y'}, 'store');
@@ -130,7 +132,7 @@
       expect(after).to.equal(1);
     });
 
-    it('tells the whole table where removals may have been missed', () => {
+    it('returns the whole table if removals may have been missed', () => {
       const {replica} = create();
       replica.addSnapshot([{key: 'b', version: 2, text: 'y'}], 9, 'store');
       const {rows, after, state} = replica.listChangesSince(5);
@@ -139,7 +141,7 @@
       expect(state.version).to.equal(9);
     });
 
-    it('tells the whole table where a removal was forgotten', () => {
+    it('returns the whole table if a removal is no longer kept', () => {
       const {replica} = create();
       for (let version = 1; version <= 1002; version++) {
         const row = {key: `s${version}`, version};
@@ -151,8 +153,8 @@
     });
   });
 
-  describe('addTold', () => {
-    it('is complete only as far as nothing is missing before', () => {
+  describe('changes of a peer', () => {
+    it('stays at its version if earlier changes are missing', () => {
       const {replica} = create();
       const a = {key: 'a', version: 100, text: 'x'};
       replica.addSnapshot([a], 100, 'store');
@@ -167,19 +169,19 @@
       expect(replica.getNewsVersion()).to.equal(100);
     });
 
-    it('is complete where the peer holds the same, whatever came between', () => {
+    it('becomes complete if the peer has the same rows, despite a gap', () => {
       const {replica} = create();
       const {replica: other} = create();
       const a = {key: 'a', version: 100, text: 'x'};
       const b = {key: 'b', version: 120, text: 'y'};
       replica.addSnapshot([a], 100, 'store');
       other.addSnapshot([a, b], 130, 'store');
-      const told = {rows: [b], after: 110, state: other.getState()};
-      expect(replica.addTold(told, 'peer')).to.equal(true);
+      const changes = {rows: [b], after: 110, state: other.getState()};
+      expect(replica.addTold(changes, 'peer')).to.equal(true);
       expect(replica.getState()).to.deep.equal(other.getState());
     });
 
-    it('is not asked for again once a peer has been caught up with', () => {
+    it('adopts the peer’s version once all its changes are merged', () => {
       const {replica} = create();
       const {replica: other} = create();
       other.addSnapshot([{key: 'a', version: 6, text: 'x#2'}], 6, 'store');
@@ -190,7 +192,7 @@
   });
 
   describe('getState', () => {
-    it('is the same for the same rows, in any order and after any history', () => {
+    it('has the same digest for the same rows, whatever their order and history', () => {
       const {replica} = create();
       const {replica: other} = create();
       const a = {key: 'a', version: 5, text: 'x#1'};
