--- a/src/peering/choose_relay_links.ts
+++ b/src/peering/choose_relay_links.ts
@@ -1,16 +1,16 @@
 import {HostAddress} from './host_address.js';
 import {KnownHosts} from './known_hosts.js';
 
-/** Aggregators of its data centre that a host tells: one, and one to take over. */
+/** Aggregators of its data centre that a host reports to: one, and one standby. */
 const AGGREGATORS = 2;
 
 /**
- * Chooses the hosts to keep a connection to: all while there are few. Of many, a
- * host is linked with the aggregators of its data centre, and an aggregator with
- * one in each other data centre, so that the number of links does not grow with
- * the fleet.
+ * Chooses the hosts to keep a connection to. In a small fleet these are all hosts. In
+ * a large one, a host is linked with the aggregators of its data centre, and an
+ * aggregator with one in each other data centre, so that the number of links per host
+ * does not grow with the fleet.
  * @param self - This host.
- * @param known - The others.
+ * @param known - The other hosts.
  */
 export function chooseRelayLinks(
   self: HostAddress,
@@ -30,6 +30,6 @@
   const far = centres
     .filter(dataCentre => dataCentre !== self.dataCentre)
     .flatMap(dataCentre => known.rankAggregators(dataCentre).slice(0, 1));
-  // What takes over needs to hear this host; this one needs no more of its own.
+  // The standby needs the reports of this aggregator; no further local link is needed.
   return [...here.slice(0, AGGREGATORS - 1), ...far];
 }
--- a/src/peering/host_address.ts
+++ b/src/peering/host_address.ts
@@ -2,15 +2,15 @@
 
 const name = z.string().min(1).max(200);
 
-/** Where an entry host can be reached by peers. */
+/** Address at which peers reach an entry host. */
 export const hostAddressSchema = z.object({
   host: name,
   dataCentre: name,
-  /** IP number and port. */
+  /** IP address and port. */
   address: name,
-  /** Processor share that it has, in cores; left out where it is not known. */
+  /** Processor capacity of the host, in cores; omitted if unknown. */
   capacity: z.number().min(0).optional(),
 });
 
-/** Where an entry host can be reached by peers. */
+/** Address at which peers reach an entry host. */
 export type HostAddress = z.output<typeof hostAddressSchema>;
--- a/src/peering/host_report.ts
+++ b/src/peering/host_report.ts
@@ -2,98 +2,98 @@
 import {limitNewsSchema} from '../limits/index.js';
 import {suspectNewsSchema} from '../quarantine/index.js';
 import {hostAddressSchema} from './host_address.js';
-import {newsSchema} from './row_words.js';
+import {replicaStatesSchema} from './row_messages.js';
 import {workSummarySchema} from './work_summary.js';
 
 const MAX_LISTED = 4096;
 const name = z.string().min(1).max(200);
 const count = z.number().min(0);
 
-/** What a host tells its peers with each heartbeat. */
+/** Report that a host sends its peers with each heartbeat. */
 export const hostReportSchema = z.object({
   address: name,
   /**
-   * Hosts it knows, so that word of new ones spreads; empty while the peer has
-   * acknowledged the list.
+   * Hosts that the sender knows, so that new ones become known everywhere; empty if the
+   * peer has acknowledged the list.
    */
   hosts: z.array(hostAddressSchema).max(MAX_LISTED),
-  /** Number of that list; left out by hosts of the release before. */
+  /** Version of that list; omitted by hosts of the previous release. */
   hostsVersion: count.default(0),
-  /** What its replicas hold. */
-  news: newsSchema,
-  /** Server, requests in flight there, prompt tokens not yet computed in all. */
+  /** State of the sender's replicas, by name. */
+  news: replicaStatesSchema,
+  /** Server, requests in flight there, total prompt tokens not yet computed. */
   loads: z.array(z.tuple([name, count, count])).max(MAX_LISTED),
   /**
    * Server, a rank of requests there, and their prompt tokens not yet computed;
-   * left out by hosts of the release before.
+   * omitted by hosts of the previous release.
    */
   prefillByRank: z
     .array(z.tuple([name, count, count]))
     .max(MAX_LISTED)
     .default([]),
   /**
-   * Server, a shared part of a prompt that it was just sent, and its tokens;
-   * left out by hosts of the release before.
+   * Server, a shared part of a prompt that was just sent there, and its tokens;
+   * omitted by hosts of the previous release.
    */
   parts: z
     .array(z.tuple([name, name, count]))
     .max(MAX_LISTED)
     .default([]),
-  /** Service, and the prompt tokens per second its servers compute for it. */
+  /** Service, and the prompt tokens per second that its servers compute for the sender. */
   prefill: z.array(z.tuple([name, count])).max(MAX_LISTED),
-  /** Customer, and its demand in units per second. */
+  /** Customer, and its demand at the sender in units per second. */
   demands: z.array(z.tuple([name, count])).max(MAX_LISTED),
-  /** Customer, and the units this start has let through in all. */
+  /** Customer, and the units that this incarnation has admitted in total. */
   spending: z.array(z.tuple([name, count])).max(MAX_LISTED),
-  /** Window, and the requests of each customer that began in it. */
+  /** Window, and the requests that began in it, by customer. */
   usage: z.array(z.tuple([count, z.record(name, count)])).max(MAX_LISTED),
-  /** Its time of day less the table's clock, in milliseconds. */
+  /** The sender's wall-clock time minus the table's clock, in milliseconds. */
   timeOffsetMs: z.number().optional(),
-  /** Whether it holds the duties. */
+  /** Whether the sender holds the duties. */
   holdsDuties: z.boolean(),
-  /** Whether it is stopping. */
+  /** Whether the sender is stopping. */
   stopping: z.boolean(),
-  /** Processor share that it has, in cores. */
+  /** Processor capacity of the sender, in cores. */
   capacity: count.optional(),
   /**
-   * Whether it wants to be told what all hosts have under way; left out by hosts
-   * that hear each of them.
+   * Whether the sender requests the summary of the work of all hosts; omitted by hosts
+   * that receive each host's own report.
    */
   wantsAll: z.boolean().optional(),
-  /** Number of the list of hosts that it was told in reply. */
+  /** Version of the last list of hosts received in a reply, to acknowledge it. */
   membersVersion: count.optional(),
-  /** What the hosts of its data centre have under way, where it sums that up. */
+  /** Summary of the work of the data centre's hosts, if the sender aggregates it. */
   centre: workSummarySchema.optional(),
-  /** Requests that end servers; left out while there is none. */
+  /** Requests suspected of terminating servers; omitted while there are none. */
   suspects: suspectNewsSchema.optional(),
-  /** Limits that servers name; left out while there is none. */
+  /** Limits that servers report; omitted while there are none. */
   limits: limitNewsSchema.optional(),
 });
 
-/** Reply to a heartbeat; hosts of the release before send an empty one. */
+/** Reply to a heartbeat; hosts of the previous release send an empty one. */
 export const heartbeatReplySchema = z.object({
   hostsVersion: count.optional(),
-  /** Number of the list of a data centre's hosts that the sender has. */
+  /** Version of the list of a data centre's hosts that the sender has. */
   membersVersion: count.optional(),
   /** Version, digest and age of each of the sender's replicas. */
-  news: newsSchema.optional(),
-  /** What the hosts of the sender's data centre have under way. */
+  news: replicaStatesSchema.optional(),
+  /** Summary of the work of the hosts of the sender's data centre. */
   centre: workSummarySchema.optional(),
-  /** What all hosts but the receiver have under way. */
+  /** Summary of the work of all hosts except the receiver. */
   all: workSummarySchema.optional(),
-  /** The table's steady clock when the reply was made, in milliseconds. */
+  /** The table's monotonic clock when the reply was created, in milliseconds. */
   sharedMs: z.number().optional(),
-  /** The usual time of day less that clock, in milliseconds. */
+  /** The usual wall-clock time minus that clock, in milliseconds. */
   usualOffsetMs: z.number().optional(),
-  /** Requests that end servers; left out while there is none. */
+  /** Requests suspected of terminating servers; omitted while there are none. */
   suspects: suspectNewsSchema.optional(),
-  /** Limits that servers name; left out while there is none. */
+  /** Limits that servers report; omitted while there are none. */
   limits: limitNewsSchema.optional(),
 });
 
-/** What a host tells its peers with each heartbeat. */
+/** Report that a host sends its peers with each heartbeat. */
 export type HostReport = z.output<typeof hostReportSchema>;
-/** What of a reply the next heartbeat depends on. */
+/** The part of a reply on which the next heartbeat depends. */
 export const acknowledgementSchema = heartbeatReplySchema.pick({
   hostsVersion: true,
   membersVersion: true,
@@ -101,7 +101,7 @@
   limits: true,
 });
 
-/** What of a reply the next heartbeat depends on. */
+/** The part of a reply on which the next heartbeat depends. */
 export type Acknowledgement = z.output<typeof acknowledgementSchema>;
 /** Reply to a heartbeat. */
 export type HeartbeatReply = z.output<typeof heartbeatReplySchema>;
--- a/src/peering/host_reports.ts
+++ b/src/peering/host_reports.ts
@@ -7,77 +7,80 @@
 import {WorkSum} from './work_sum.js';
 import {WorkSummary} from './work_summary.js';
 
-/** Whose work was told. */
+/** Whose work a report covers. */
 const Scope = {
-  /** One host, by its own word. */
+  /** One host, as it reports itself. */
   HOST: 'host',
   ...MemberScope,
 } as const;
 type Scope = (typeof Scope)[keyof typeof Scope];
 
-/** What was told last of one host, or of several together. */
-interface ToldWork {
+/** The last report of the work of one host, or of several together. */
+interface ReportedWork {
   readonly scope: Scope;
-  /** Who told it. */
-  readonly teller: string;
-  /** Data centre of whoever told it. */
+  /** Host that sent the report. */
+  readonly reporter: string;
+  /** Data centre of that host. */
   readonly dataCentre: string;
-  /** Hosts that it stands for. */
+  /** Number of hosts that the report covers. */
   readonly hosts: number;
   readonly work: HostWork;
   readonly byServer: ReadonlyMap<string, ServerLoad>;
   readonly holdsDuties: boolean;
   /** See `WorkSummary.hops`. */
   readonly hops: number;
-  readonly toldMs: number;
+  readonly receivedMs: number;
 }
 
-/** What a host told last itself. */
-export interface HostWord {
+/** The last report of a host's own work. */
+export interface OwnReport {
   readonly work: HostWork;
-  /** Time since it told, in milliseconds. */
+  /** Time since the report arrived, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What the reports work with. */
+/** Options of the reports. */
 export interface HostReportsOptions {
   readonly clock: Clock;
-  /** Data centre of this host: its hosts tell this one themselves. */
+  /** Data centre of this host. */
   readonly dataCentre: string;
-  /** Age at which a report's loads count no longer, in milliseconds. */
+  /** Age beyond which a report's loads no longer count, in milliseconds. */
   readonly staleMs: number;
-  /** Age at which it is forgotten, in milliseconds. */
+  /** Age beyond which a report is dropped, in milliseconds. */
   readonly goneMs: number;
 }
 
-/** Words that count together, as found at one moment. */
-interface CountedWork {
-  readonly foundMs: number;
-  readonly told: readonly ToldWork[];
+/** Reports that count together, as selected at one time. */
+interface ReportSelection {
+  readonly selectedMs: number;
+  readonly reports: readonly ReportedWork[];
 }
 
 /**
- * Time for which what counts is not looked for anew, in milliseconds: a request asks
- * for it once for each server that it may go to.
+ * Time for which a selection of reports is reused, in milliseconds: each request needs
+ * it once for each candidate server.
  */
-const COUNTED_MS = 10;
-/** Age up to which the summary of a data centre is not taken over, in ms. */
-const KEPT_SUMMARY_MS = 1000;
+const SELECTION_MS = 10;
+/**
+ * Age up to which the summary of a data centre is kept when another of its hosts sends
+ * one that covers fewer hosts, in milliseconds.
+ */
+const MAX_KEPT_SUMMARY_AGE_MS = 1000;
 
 /**
- * What the other entry hosts have under way, as they or their aggregators told.
+ * The work of the other entry hosts, as reported by them or by their aggregators.
  *
- * No host counts twice: word of all goes before word of data centres, and word
- * of a data centre before that of its hosts.
+ * No host counts twice: a summary of all hosts replaces the summaries of data centres,
+ * and the summary of a data centre replaces the reports of its hosts.
  */
 export class HostReports {
-  private readonly told = new Map<string, ToldWork>();
-  /** What counts, by the age up to which it does. */
-  private readonly counted = new Map<number, CountedWork>();
+  private readonly reports = new Map<string, ReportedWork>();
+  /** Reports that count, by their maximum age. */
+  private readonly selections = new Map<number, ReportSelection>();
 
   constructor(private readonly options: HostReportsOptions) {}
 
-  /** Takes in a report from the host itself. */
+  /** Adds a host's report of its own work. */
   addReport(from: PeerIdentity, report: HostReport): void {
     this.set(`host ${from.host}`, Scope.HOST, from, {
       hosts: 1,
@@ -88,18 +91,18 @@
   }
 
   /**
-   * Takes in what the hosts of another data centre have under way. Where two of
-   * its hosts sum it up, that of more hosts counts while it is told.
-   * @returns Whether it goes on from what counted before.
+   * Adds the summary of another data centre. If two of its hosts send summaries, the one
+   * that covers more hosts counts as long as it is sent.
+   * @returns Whether the summary replaces one of the same sender.
    */
   addCentre(from: PeerIdentity, summary: WorkSummary): boolean {
     const key = `centre ${from.dataCentre}`;
-    const known = this.told.get(key);
+    const known = this.reports.get(key);
     const keepsKnown =
       known !== undefined &&
-      known.teller !== from.host &&
+      known.reporter !== from.host &&
       known.hosts > summary.hosts &&
-      this.getAgeMs(known) < KEPT_SUMMARY_MS;
+      this.getAgeMs(known) < MAX_KEPT_SUMMARY_AGE_MS;
     if (keepsKnown) {
       return false;
     }
@@ -109,57 +112,57 @@
       hops: summary.hops,
       holdsDuties: summary.holdsDuties,
     });
-    return known?.teller === from.host;
+    return known?.reporter === from.host;
   }
 
   /**
-   * Takes in what all other hosts have under way.
-   * @returns Whether it goes on from what counted before.
+   * Adds the summary of all other hosts.
+   * @returns Whether the summary replaces one of the same sender.
    */
   addAll(from: PeerIdentity, summary: WorkSummary): boolean {
-    const known = this.told.get('all');
+    const known = this.reports.get('all');
     this.set('all', Scope.ALL, from, {
       hosts: summary.hosts,
       work: readSummarisedWork(summary),
       hops: summary.hops,
       holdsDuties: summary.holdsDuties,
     });
-    return known?.teller === from.host;
+    return known?.reporter === from.host;
   }
 
-  /** Tells whether word of all hosts counts, and no other. */
-  hearsOfAll(): boolean {
+  /** Returns whether the summary of all hosts is recent enough to replace the others. */
+  hasSummaryOfAll(): boolean {
     return this.getAgeOfAllMs() <= this.options.staleMs;
   }
 
-  /** Lets go of everything, after a pause that no clock has counted. */
+  /** Drops all reports, after a pause that the monotonic clock has not counted. */
   forget(): void {
-    this.told.clear();
-    this.counted.clear();
+    this.reports.clear();
+    this.selections.clear();
   }
 
-  /** Returns the age of the last word of all hosts, in milliseconds. */
+  /** Returns the age of the summary of all hosts, in milliseconds; infinite if none. */
   getAgeOfAllMs(): number {
-    const all = this.told.get('all');
+    const all = this.reports.get('all');
     return all === undefined ? Number.POSITIVE_INFINITY : this.getAgeMs(all);
   }
 
-  /** Returns what other hosts have in flight at a server. */
+  /** Lists the load of a server from other hosts. */
   listLoadsAt(server: string): HostLoad[] {
     const loads: HostLoad[] = [];
-    for (const told of this.listCounted(this.options.staleMs)) {
-      const load = told.byServer.get(server);
+    for (const report of this.selectReports(this.options.staleMs)) {
+      const load = report.byServer.get(server);
       if (load !== undefined) {
-        loads.push({...load, ageMs: this.getAgeMs(told)});
+        loads.push({...load, ageMs: this.getAgeMs(report)});
       }
     }
     return loads;
   }
 
-  /** Sums the requests in flight at servers that a function picks. */
+  /** Sums the requests of other hosts in flight at the servers that a function selects. */
   sumRunning(picks: (server: string) => boolean): number {
     let sum = 0;
-    for (const {work} of this.listCounted(this.options.staleMs)) {
+    for (const {work} of this.selectReports(this.options.staleMs)) {
       for (const {server, running} of work.loads) {
         sum += picks(server) ? running : 0;
       }
@@ -167,10 +170,13 @@
     return sum;
   }
 
-  /** Sums a customer's demand at other hosts, heard of late or not. */
+  /**
+   * Sums a customer's demand at other hosts, in units per second. Includes reports up
+   * to `goneMs` old.
+   */
   sumDemand(customer: string): number {
     let sum = 0;
-    for (const {work} of this.listCounted(this.options.goneMs)) {
+    for (const {work} of this.selectReports(this.options.goneMs)) {
       for (const [name, perSecond] of work.demands) {
         sum += name === customer ? perSecond : 0;
       }
@@ -178,19 +184,19 @@
     return sum;
   }
 
-  /** Counts the hosts whose demand was told, heard of late or not. */
+  /** Counts the hosts whose demand is known. Includes reports up to `goneMs` old. */
   countTold(): number {
     let count = 0;
-    for (const {hosts} of this.listCounted(this.options.goneMs)) {
+    for (const {hosts} of this.selectReports(this.options.goneMs)) {
       count += hosts;
     }
     return count;
   }
 
-  /** Returns the prompt tokens per second that hosts which are heard compute. */
+  /** Sums the prompt tokens per second of a service at the hosts with recent reports. */
   sumPrefill(service: string): number {
     let sum = 0;
-    for (const {work} of this.listCounted(this.options.staleMs)) {
+    for (const {work} of this.selectReports(this.options.staleMs)) {
       for (const [name, perSecond] of work.prefill) {
         sum += name === service ? perSecond : 0;
       }
@@ -198,9 +204,9 @@
     return sum;
   }
 
-  /** Tells whether a host that is heard holds the duties. */
+  /** Returns whether another host holds the duties, by recent reports. */
   hearsHolder(): boolean {
-    for (const {holdsDuties} of this.listCounted(this.options.staleMs)) {
+    for (const {holdsDuties} of this.selectReports(this.options.staleMs)) {
       if (holdsDuties) {
         return true;
       }
@@ -208,61 +214,66 @@
     return false;
   }
 
-  /** Tells whether another host of this data centre holds the duties. */
-  hearsHolderHere(): boolean {
+  /** Returns whether another host of this data centre holds the duties. */
+  knowsHolderHere(): boolean {
     return this.listHere().some(({holdsDuties}) => holdsDuties);
   }
 
-  /** Sums what the other hosts of this data centre have under way. */
+  /** Sums the work of the other hosts of this data centre. */
   sumHere(): WorkSum {
     return this.sum(this.listHere());
   }
 
   /**
-   * Sums what all other hosts have under way, by their own word and that of other
+   * Sums the work of all other hosts from their own reports and the summaries of other
    * data centres.
    */
-  sumVouched(): WorkSum {
+  sumConfirmed(): WorkSum {
     const recent = this.listRecent(this.options.staleMs);
-    return this.sum(listOnce(recent));
+    return this.sum(omitCovered(recent));
   }
 
   /**
-   * Sums what an aggregator told of all other hosts, to tell it on once; nothing
-   * where none did. It is told on no further, or it would never grow old.
+   * Returns the summary of all other hosts that an aggregator sent, to forward it;
+   * `undefined` if there is none. It is forwarded once only: hosts that forwarded it to
+   * each other would keep it from expiring.
    */
-  sumTold(): WorkSum | undefined {
-    const all = this.told.get('all');
-    const isFirst = all !== undefined && all.hops === 0 && this.hearsOfAll();
+  sumForwarded(): WorkSum | undefined {
+    const all = this.reports.get('all');
+    const isFirst =
+      all !== undefined && all.hops === 0 && this.hasSummaryOfAll();
     return isFirst ? this.sum([all]) : undefined;
   }
 
-  /** Lists what hosts told last themselves, by host. */
-  listOwnWords(): Map<string, HostWord> {
-    const words = new Map<string, HostWord>();
-    for (const told of this.listRecent(this.options.staleMs)) {
-      if (told.scope === Scope.HOST) {
-        words.set(told.teller, {work: told.work, ageMs: this.getAgeMs(told)});
+  /** Lists the last own reports of hosts, by host. */
+  listOwnReports(): Map<string, OwnReport> {
+    const ownReports = new Map<string, OwnReport>();
+    for (const report of this.listRecent(this.options.staleMs)) {
+      if (report.scope === Scope.HOST) {
+        ownReports.set(report.reporter, {
+          work: report.work,
+          ageMs: this.getAgeMs(report),
+        });
       }
     }
-    return words;
+    return ownReports;
   }
 
-  private sum(listed: readonly ToldWork[]): WorkSum {
+  private sum(listed: readonly ReportedWork[]): WorkSum {
     const sum = new WorkSum();
-    for (const told of listed) {
-      sum.add(told.work, this.getAgeMs(told));
+    for (const report of listed) {
+      sum.add(report.work, this.getAgeMs(report));
     }
     return sum;
   }
 
-  private listHere(): ToldWork[] {
+  private listHere(): ReportedWork[] {
     const {dataCentre, staleMs} = this.options;
-    return [...this.told.values()].filter(
-      told =>
-        told.scope === Scope.HOST &&
-        told.dataCentre === dataCentre &&
-        this.getAgeMs(told) <= staleMs,
+    return [...this.reports.values()].filter(
+      report =>
+        report.scope === Scope.HOST &&
+        report.dataCentre === dataCentre &&
+        this.getAgeMs(report) <= staleMs,
     );
   }
 
@@ -270,55 +281,55 @@
     key: string,
     scope: Scope,
     from: PeerIdentity,
-    told: Pick<ToldWork, 'hosts' | 'work' | 'hops' | 'holdsDuties'>,
+    report: Pick<ReportedWork, 'hosts' | 'work' | 'hops' | 'holdsDuties'>,
   ): void {
-    this.counted.clear();
-    this.told.set(key, {
-      ...told,
+    this.selections.clear();
+    this.reports.set(key, {
+      ...report,
       scope,
-      teller: from.host,
+      reporter: from.host,
       dataCentre: from.dataCentre,
-      byServer: new Map(told.work.loads.map(load => [load.server, load])),
-      toldMs: this.options.clock.monotonicMs(),
+      byServer: new Map(report.work.loads.map(load => [load.server, load])),
+      receivedMs: this.options.clock.monotonicMs(),
     });
   }
 
-  /** Lists what is not too old, so that no host is in it twice. */
-  private listCounted(maxAgeMs: number): readonly ToldWork[] {
+  /** Lists the reports up to a maximum age, so that no host is covered twice. */
+  private selectReports(maxAgeMs: number): readonly ReportedWork[] {
     const nowMs = this.options.clock.monotonicMs();
-    const known = this.counted.get(maxAgeMs);
-    if (known !== undefined && nowMs - known.foundMs < COUNTED_MS) {
-      return known.told;
+    const known = this.selections.get(maxAgeMs);
+    if (known !== undefined && nowMs - known.selectedMs < SELECTION_MS) {
+      return known.reports;
     }
     this.trim();
     const recent = this.listRecent(maxAgeMs);
     const all = recent.find(({scope}) => scope === Scope.ALL);
-    const told = all === undefined ? listOnce(recent) : [all];
-    this.counted.set(maxAgeMs, {foundMs: nowMs, told});
-    return told;
+    const reports = all === undefined ? omitCovered(recent) : [all];
+    this.selections.set(maxAgeMs, {selectedMs: nowMs, reports});
+    return reports;
   }
 
-  private listRecent(maxAgeMs: number): ToldWork[] {
-    return [...this.told.values()].filter(
-      told => this.getAgeMs(told) <= maxAgeMs,
+  private listRecent(maxAgeMs: number): ReportedWork[] {
+    return [...this.reports.values()].filter(
+      report => this.getAgeMs(report) <= maxAgeMs,
     );
   }
 
-  private getAgeMs(told: ToldWork): number {
-    return this.options.clock.monotonicMs() - told.toldMs;
+  private getAgeMs(report: ReportedWork): number {
+    return this.options.clock.monotonicMs() - report.receivedMs;
   }
 
   private trim(): void {
-    for (const [key, told] of this.told) {
-      if (this.getAgeMs(told) > this.options.goneMs) {
-        this.told.delete(key);
+    for (const [key, report] of this.reports) {
+      if (this.getAgeMs(report) > this.options.goneMs) {
+        this.reports.delete(key);
       }
     }
   }
 }
 
-/** Leaves out the hosts of which a summary of their data centre tells. */
-function listOnce(recent: readonly ToldWork[]): ToldWork[] {
+/** Omits the reports of hosts that a summary of their data centre covers. */
+function omitCovered(recent: readonly ReportedWork[]): ReportedWork[] {
   const summed = new Set(
     recent
       .filter(({scope}) => scope === Scope.CENTRE)
--- a/src/peering/host_work.ts
+++ b/src/peering/host_work.ts
@@ -2,25 +2,25 @@
 import {HostReport} from './host_report.js';
 import {WorkSummary} from './work_summary.js';
 
-/** Rates by name: of customers, or of services. */
+/** Rates per second by name of the customer or service. */
 export type Rates = readonly (readonly [name: string, perSecond: number])[];
 
-/** What one host, or several together, have under way. */
+/** The work in progress of one host, or of several together. */
 export interface HostWork {
   readonly loads: readonly ServerLoad[];
-  /** Servers with the shared parts of prompts that they were just sent. */
+  /** Shared parts of prompts that were just sent, with their servers. */
   readonly parts: readonly (readonly [
     server: string,
     part: string,
     tokens: number,
   ])[];
-  /** Prompt tokens per second that each service computes. */
+  /** Prompt tokens per second computed for each service. */
   readonly prefill: Rates;
-  /** Units per second that each customer asks for. */
+  /** Demand of each customer, in units per second. */
   readonly demands: Rates;
 }
 
-/** Reads the work of one host from what it told. */
+/** Reads the work of one host from its report. */
 export function readReportedWork(report: HostReport): HostWork {
   const byServer = new Map<string, RankedTokens[]>();
   for (const [server, urgency, tokens] of report.prefillByRank) {
@@ -32,7 +32,7 @@
   const loads = report.loads.map(([server, running, tokens]) => ({
     server,
     running,
-    // Hosts of the release before tell no ranks.
+    // Hosts of the previous release report no ranks.
     prefill: byServer.get(server) ?? [{urgency: 0, tokens}],
   }));
   return {loads, parts, prefill, demands};
--- a/src/peering/index.ts
+++ b/src/peering/index.ts
@@ -1,4 +1,4 @@
-/** Peering: what entry hosts tell each other about relayed requests. */
+/** Peering: the messages that entry hosts exchange about relayed requests. */
 export type {HostAddress} from './host_address.js';
 export type {HeartbeatReply, HostReport} from './host_report.js';
 export {HostReports} from './host_reports.js';
--- a/src/peering/is_table_reader.ts
+++ b/src/peering/is_table_reader.ts
@@ -1,15 +1,15 @@
 import {rankByRendezvous} from '../random/index.js';
 import {KnownHosts} from './known_hosts.js';
 
-/** What data centres are ranked for. */
+/** Key by which data centres are ranked. */
 const READERS = 'table-readers';
-/** Data centres whose aggregators read: one, and one for when it is cut off. */
+/** Number of data centres whose aggregators read: one, and one in case of a partition. */
 const READING_CENTRES = 2;
 
 /**
- * Tells whether a host is one of the two that read the platform's tables, and watch
- * its leases, for many.
- * @param known - What it knows of the others.
+ * Returns whether a host is one of the two that read the platform's tables, and watch
+ * its leases, on behalf of a large fleet.
+ * @param known - The other hosts, as this host knows them.
  */
 export function isTableReader(known: KnownHosts): boolean {
   const ranked = rankByRendezvous(READERS, known.listDataCentres());
--- a/src/peering/known_hosts.ts
+++ b/src/peering/known_hosts.ts
@@ -4,92 +4,95 @@
 import {Clock} from '../time/index.js';
 import {HostAddress} from './host_address.js';
 
-/** What the known hosts work with. */
+/** Dependencies and timing of the known hosts. */
 export interface KnownHostsOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly self: HostAddress;
-  /** Age at which word of a host counts no longer, in milliseconds. */
+  /** Age beyond which a report no longer counts, in milliseconds. */
   readonly staleMs: number;
-  /** Silence after which a host is taken to be gone for good, in ms. */
+  /** Time without a report after which a host is dropped, in milliseconds. */
   readonly goneMs: number;
 }
 
-/** A host, and the last word of it. */
+/** A host, and when it was last known to be alive. */
 interface KnownHost {
   address: HostAddress;
-  /** When it was last known to be there, monotonic milliseconds. */
+  /** When it was last known to be alive, monotonic milliseconds. */
   aliveMs: number;
-  /** When it told of itself, monotonic milliseconds. */
-  toldMs: number;
+  /** When it last reported itself, monotonic milliseconds. */
+  reportedMs: number;
 }
 
-/** The hosts of a data centre as they were ranked. */
-interface Ranked {
+/** The ranked hosts of a data centre. */
+interface Ranking {
   /** Monotonic milliseconds. */
-  readonly madeMs: number;
+  readonly createdMs: number;
   readonly hosts: readonly HostAddress[];
 }
 
-/** Until when a host is passed over that could not be reached. */
-interface Avoided {
+/** Time for which an unreachable host is skipped. */
+interface SkippedHost {
   /** Monotonic milliseconds. */
   readonly untilMs: number;
-  readonly spanMs: number;
+  readonly skipMs: number;
 }
 
-/** Whose hosts a peer tells of. */
+/** Which hosts a peer's list covers. */
 export const MemberScope = {
-  /** Those of its data centre that tell it themselves. */
+  /** Hosts of its data centre that report to it. */
   CENTRE: 'centre',
-  /** All that it knows to be there. */
+  /** All hosts that it knows to be alive. */
   ALL: 'all',
 } as const;
 export type MemberScope = (typeof MemberScope)[keyof typeof MemberScope];
 
-/** Hosts that a peer has told are there. */
-interface ToldMembers {
+/** Hosts that a peer has reported as alive. */
+interface ReportedMembers {
   readonly scope: MemberScope;
-  /** Number that the peer gave the list. */
+  /** Version that the peer gave the list. */
   readonly version: number;
   readonly hosts: ReadonlySet<string>;
-  toldMs: number;
+  reportedMs: number;
 }
 
 /**
- * Hosts in all up to which everyone hears everyone: beyond, heartbeats cost a
- * host more than the requests that it serves.
+ * Maximum number of hosts, this one included, with a full mesh of heartbeats. In a
+ * larger fleet, heartbeats cost a host more than the requests that it serves.
  */
 const FULL_MESH_HOSTS = 12;
 /**
- * Time for which a host that could not be reached is passed over, in
- * milliseconds: until a stopped process is back. Twice as long each time after.
+ * Time for which an unreachable host is skipped at first, in milliseconds: enough for a
+ * stopped process to restart. Doubles with each further failure.
  */
-const AVOID_MS = 2000;
-/** Longest such time, in milliseconds: a host that was cut off is wanted back. */
-const MAX_AVOID_MS = 8000;
-/** Age up to which a rank is not made anew, in milliseconds. */
-const RANK_MS = 200;
-/** Pause between looks at who is there, of many, in milliseconds. */
+const MIN_SKIP_MS = 2000;
+/**
+ * Upper bound of that time, in milliseconds: a host that was partitioned is to be used
+ * again soon after.
+ */
+const MAX_SKIP_MS = 8000;
+/** Age up to which a ranking is reused, in milliseconds. */
+const RANKING_MS = 200;
+/** Interval between checks of which hosts are alive, in a large fleet, in ms. */
 const REFRESH_MS = 100;
-/** Age up to which this host's turn is not worked out anew, in milliseconds. */
+/** Age up to which this host's position among all hosts is reused, in milliseconds. */
 const TURN_MS = 100;
-/** Hosts with this part of the largest capacity count as large, too. */
+/** Share of the largest capacity from which a host counts as large. */
 const LARGE_SHARE = 0.8;
 
-/** The other entry hosts: where they are, and whether they are there. */
+/** The other entry hosts, with their addresses and whether they are alive. */
 export class KnownHosts {
   private readonly hosts = new Map<string, KnownHost>();
-  private readonly members = new Map<string, ToldMembers>();
-  private readonly avoided = new Map<string, Avoided>();
-  private readonly ranks = new Map<string, Ranked>();
+  private readonly members = new Map<string, ReportedMembers>();
+  private readonly skipped = new Map<string, SkippedHost>();
+  private readonly rankings = new Map<string, Ranking>();
   private turn: Turn | undefined;
   private turnMs = Number.NEGATIVE_INFINITY;
   private refreshedMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: KnownHostsOptions) {}
 
-  /** Takes in that a host exists. */
+  /** Adds a host that another source names, or updates its address. */
   addAddress(address: HostAddress): void {
     const {self, clock, log} = this.options;
     const known = this.hosts.get(address.host);
@@ -99,34 +102,34 @@
     ) {
       return;
     }
-    if (known !== undefined && !this.isOld(known.toldMs)) {
-      // Its own word of where it is goes before others'.
+    if (known !== undefined && !this.isOld(known.reportedMs)) {
+      // The address that a host reports itself takes precedence over other sources.
       return;
     }
     log.info('host_known', {peer: address.host, address: address.address});
     const aliveMs = clock.monotonicMs();
-    this.ranks.clear();
+    this.rankings.clear();
     this.hosts.set(address.host, {
       address,
       aliveMs,
-      toldMs: Number.NEGATIVE_INFINITY,
+      reportedMs: Number.NEGATIVE_INFINITY,
     });
   }
 
-  /** Takes in a host's own word of itself. */
-  addHeard(address: HostAddress): void {
+  /** Adds a host that reports itself, or updates its address. */
+  addSelfReport(address: HostAddress): void {
     const nowMs = this.options.clock.monotonicMs();
     const aliveMs = nowMs;
-    this.hosts.set(address.host, {address, aliveMs, toldMs: nowMs});
-    this.avoided.delete(address.host);
+    this.hosts.set(address.host, {address, aliveMs, reportedMs: nowMs});
+    this.skipped.delete(address.host);
   }
 
   /**
-   * Takes in which hosts a peer hears.
+   * Sets the hosts that a peer reports as alive.
    * @param source - The peer.
-   * @param scope - Whose hosts these are.
-   * @param version - Number of the list.
-   * @param members - The list; left out if this host has acknowledged the number.
+   * @param scope - Which hosts the list covers.
+   * @param version - Version of the list.
+   * @param members - The list; `undefined` if this host has acknowledged the version.
    */
   addMembers(
     source: string,
@@ -134,11 +137,11 @@
     version: number,
     members: readonly HostAddress[] | undefined,
   ): void {
-    const toldMs = this.options.clock.monotonicMs();
+    const reportedMs = this.options.clock.monotonicMs();
     if (members === undefined) {
       const known = this.members.get(source);
       if (known?.version === version && known.scope === scope) {
-        known.toldMs = toldMs;
+        known.reportedMs = reportedMs;
       }
       return;
     }
@@ -146,42 +149,42 @@
       this.addAddress(address);
     }
     const hosts = new Set(members.map(({host}) => host));
-    this.members.set(source, {scope, version, hosts, toldMs});
+    this.members.set(source, {scope, version, hosts, reportedMs});
   }
 
-  /** Returns the number of the list that is known of a peer, to acknowledge it. */
+  /** Returns the version of the list known from a peer, to acknowledge it. */
   getMembersVersion(source: string): number | undefined {
     return this.members.get(source)?.version;
   }
 
-  /** Notes that a host could not be reached, or fell silent. */
+  /** Records that a host could not be reached, or stopped responding. */
   addUnreachable(address: string): void {
     const nowMs = this.options.clock.monotonicMs();
     for (const [host, known] of this.hosts) {
       if (known.address.address === address) {
-        const lastMs = this.avoided.get(host)?.spanMs ?? AVOID_MS / 2;
-        const spanMs = Math.min(MAX_AVOID_MS, lastMs * 2);
-        this.avoided.set(host, {untilMs: nowMs + spanMs, spanMs});
-        this.ranks.clear();
+        const lastMs = this.skipped.get(host)?.skipMs ?? MIN_SKIP_MS / 2;
+        const skipMs = Math.min(MAX_SKIP_MS, lastMs * 2);
+        this.skipped.set(host, {untilMs: nowMs + skipMs, skipMs});
+        this.rankings.clear();
       }
     }
   }
 
-  /** Lets go of what was heard, after a pause that no clock has counted. */
-  forgetWord(): void {
+  /** Discards all reports, after a pause that the monotonic clock has not counted. */
+  forgetReports(): void {
     this.members.clear();
     for (const known of this.hosts.values()) {
-      known.toldMs = Number.NEGATIVE_INFINITY;
+      known.reportedMs = Number.NEGATIVE_INFINITY;
     }
   }
 
-  /** Returns every host that may be serving, but this one. */
+  /** Returns every host that may be serving, except this one. */
   listAddresses(): HostAddress[] {
     this.refresh();
     return [...this.hosts.values()].map(({address}) => address);
   }
 
-  /** Returns the hosts that are there, but this one. */
+  /** Returns the hosts that are alive, except this one. */
   listAlive(): HostAddress[] {
     this.refresh();
     const alive: HostAddress[] = [];
@@ -193,31 +196,31 @@
     return alive;
   }
 
-  /** Returns the hosts of this data centre that tell this host themselves. */
-  listHeardHere(): HostAddress[] {
-    const heard: HostAddress[] = [];
-    for (const {address, toldMs} of this.hosts.values()) {
+  /** Returns the hosts of this data centre that report to this host. */
+  listReportingHere(): HostAddress[] {
+    const reporting: HostAddress[] = [];
+    for (const {address, reportedMs} of this.hosts.values()) {
       const isHere = address.dataCentre === this.options.self.dataCentre;
-      if (isHere && !this.isOld(toldMs)) {
-        heard.push(address);
+      if (isHere && !this.isOld(reportedMs)) {
+        reporting.push(address);
       }
     }
-    return heard;
+    return reporting;
   }
 
   /**
-   * Returns the hosts that this host can vouch for: those that tell it themselves,
-   * and those that tell another aggregator. What it has from word of all hosts is
-   * not told on, or two hosts could keep a dead one alive for each other.
+   * Returns the hosts that this host can confirm as alive: those that report to it, and
+   * those that report to another aggregator. Hosts known only from a list of all hosts
+   * are not included, or two hosts could keep a dead one alive for each other.
    */
-  listVouched(): HostAddress[] {
-    const vouched: HostAddress[] = [];
-    for (const [host, {address, toldMs}] of this.hosts) {
-      if (!this.isOld(toldMs) || this.isMember(host, MemberScope.CENTRE)) {
-        vouched.push(address);
+  listConfirmed(): HostAddress[] {
+    const confirmed: HostAddress[] = [];
+    for (const [host, {address, reportedMs}] of this.hosts) {
+      if (!this.isOld(reportedMs) || this.isMember(host, MemberScope.CENTRE)) {
+        confirmed.push(address);
       }
     }
-    return vouched;
+    return confirmed;
   }
 
   /** Returns how many hosts may be serving, this one included. */
@@ -226,7 +229,7 @@
     return this.hosts.size + 1;
   }
 
-  /** Returns which of the hosts that may be serving this one is, by their names. */
+  /** Returns the position of this host among those that may be serving, by name. */
   getTurn(): Turn {
     const nowMs = this.options.clock.monotonicMs();
     if (this.turn === undefined || nowMs - this.turnMs >= TURN_MS) {
@@ -236,24 +239,26 @@
     return this.turn;
   }
 
-  /** Returns how many hosts are there, this one included. */
+  /** Returns how many hosts are alive, this one included. */
   countAlive(): number {
     return this.listAlive().length + 1;
   }
 
-  /** Tells whether all hosts that may be serving are there. */
+  /** Returns whether all hosts that may be serving are alive. */
   hearsAll(): boolean {
     return this.countAlive() === this.countHosts();
   }
 
-  /** Tells whether most of the hosts that may be serving are there. */
+  /** Returns whether most of the hosts that may be serving are alive. */
   hearsMost(): boolean {
     return this.countAlive() > this.countHosts() / 2;
   }
 
-  /** Tells whether a host is there, by its own word or a peer's. */
+  /** Returns whether a host is alive, as reported by itself or by a peer. */
   isAlive(host: string): boolean {
-    if (!this.isOld(this.hosts.get(host)?.toldMs ?? Number.NEGATIVE_INFINITY)) {
+    if (
+      !this.isOld(this.hosts.get(host)?.reportedMs ?? Number.NEGATIVE_INFINITY)
+    ) {
       return true;
     }
     return (
@@ -262,36 +267,36 @@
     );
   }
 
-  /** Tells whether a peer that knows of all hosts told of this one. */
-  isTold(host: string): boolean {
+  /** Returns whether a peer's list of all hosts includes a host. */
+  isInListOfAll(host: string): boolean {
     return this.isMember(host, MemberScope.ALL);
   }
 
-  /** Tells whether there are too many hosts for everyone to hear everyone. */
+  /** Returns whether the fleet is too large for a full mesh of heartbeats. */
   isLarge(): boolean {
     this.refresh();
     return this.hosts.size >= FULL_MESH_HOSTS;
   }
 
   /**
-   * Ranks the hosts of a data centre for summing up what its hosts tell: those
-   * that this host can reach, large ones first. All that know the same rank them
-   * the same. One that nobody hears is tried again from time to time: else two
-   * parts of a data centre that lost sight of each other would stay apart.
+   * Ranks the hosts of a data centre as aggregators: those that this host can reach,
+   * large ones first. Hosts with the same knowledge compute the same ranking. Unreachable
+   * hosts are tried again from time to time, or two parts of a partitioned data centre
+   * would stay apart.
    * @param dataCentre - The data centre; this host's own includes this host.
    */
   rankAggregators(dataCentre: string): readonly HostAddress[] {
     const nowMs = this.options.clock.monotonicMs();
-    const known = this.ranks.get(dataCentre);
-    if (known !== undefined && nowMs - known.madeMs < RANK_MS) {
+    const known = this.rankings.get(dataCentre);
+    if (known !== undefined && nowMs - known.createdMs < RANKING_MS) {
       return known.hosts;
     }
     const hosts = this.rank(dataCentre);
-    this.ranks.set(dataCentre, {madeMs: nowMs, hosts});
+    this.rankings.set(dataCentre, {createdMs: nowMs, hosts});
     return hosts;
   }
 
-  /** Tells whether this host sums up what those of its data centre tell. */
+  /** Returns whether this host is the aggregator of its data centre. */
   isAggregator(): boolean {
     const {self} = this.options;
     return this.rankAggregators(self.dataCentre)[0]?.host === self.host;
@@ -302,7 +307,7 @@
     return this.options.self.dataCentre;
   }
 
-  /** Lists the data centres that hosts are known of, this host's own first. */
+  /** Lists the data centres of all known hosts, this host's own first. */
   listDataCentres(): string[] {
     const centres = new Set([this.options.self.dataCentre]);
     for (const {address} of this.hosts.values()) {
@@ -314,16 +319,19 @@
   private rank(dataCentre: string): HostAddress[] {
     const {self} = this.options;
     const usable = this.listAddresses().filter(
-      known => known.dataCentre === dataCentre && !this.isAvoided(known.host),
+      known => known.dataCentre === dataCentre && !this.isSkipped(known.host),
     );
     const candidates =
       self.dataCentre === dataCentre ? [...usable, self] : usable;
-    const most = Math.max(...candidates.map(({capacity = 0}) => capacity), 0);
+    const maxCapacity = Math.max(
+      ...candidates.map(({capacity = 0}) => capacity),
+      0,
+    );
     const byName = new Map(candidates.map(known => [known.host, known]));
     const ranked = rankByRendezvous(dataCentre, [...byName.keys()]);
     const sorted = ranked.map(host => byName.get(host) ?? self);
     const isLarge = ({capacity = 0}: HostAddress) =>
-      capacity >= most * LARGE_SHARE;
+      capacity >= maxCapacity * LARGE_SHARE;
     return [
       ...sorted.filter(isLarge),
       ...sorted.filter(known => !isLarge(known)),
@@ -340,24 +348,24 @@
   }
 
   private isMember(host: string, wanted: MemberScope): boolean {
-    for (const {scope, hosts, toldMs} of this.members.values()) {
-      if (scope === wanted && !this.isOld(toldMs) && hosts.has(host)) {
+    for (const {scope, hosts, reportedMs} of this.members.values()) {
+      if (scope === wanted && !this.isOld(reportedMs) && hosts.has(host)) {
         return true;
       }
     }
     return false;
   }
 
-  private isAvoided(host: string): boolean {
-    const untilMs = this.avoided.get(host)?.untilMs ?? 0;
+  private isSkipped(host: string): boolean {
+    const untilMs = this.skipped.get(host)?.untilMs ?? 0;
     return this.options.clock.monotonicMs() < untilMs;
   }
 
-  private isOld(toldMs: number): boolean {
-    return this.options.clock.monotonicMs() - toldMs > this.options.staleMs;
+  private isOld(reportedMs: number): boolean {
+    return this.options.clock.monotonicMs() - reportedMs > this.options.staleMs;
   }
 
-  /** Notes who is there, and forgets who has not been for long. */
+  /** Records which hosts are alive, and drops those that have not been for `goneMs`. */
   private refresh(): void {
     const {clock, goneMs, log} = this.options;
     const nowMs = clock.monotonicMs();
@@ -371,10 +379,10 @@
         known.aliveMs = nowMs;
       } else if (nowMs - known.aliveMs > goneMs) {
         log.info('host_forgotten', {peer: host});
-        this.ranks.clear();
+        this.rankings.clear();
         this.hosts.delete(host);
         this.members.delete(host);
-        this.avoided.delete(host);
+        this.skipped.delete(host);
       }
     }
   }
--- a/src/peering/optional.ts
+++ b/src/peering/optional.ts
@@ -1,4 +1,4 @@
-/** Makes a property that is left out where there is no value. */
+/** Creates an object with one property, or without it if the value is `undefined`. */
 export function optional<Name extends string, Value>(
   name: Name,
   value: Value | undefined,
--- a/src/peering/pause_watch.ts
+++ b/src/peering/pause_watch.ts
@@ -1,12 +1,12 @@
 import {Clock} from '../time/index.js';
 
 /**
- * Difference between the time of day and the steady clock that tells of a pause,
- * in milliseconds: a machine that was suspended counts it on the first alone.
+ * Advance of the wall clock over the monotonic clock that indicates a pause, in
+ * milliseconds: while a machine is suspended, only its wall clock advances.
  */
 const PAUSE_MS = 500;
 
-/** Notices that the machine stood still while its steady clock did, too. */
+/** Detects that the machine was suspended, which its monotonic clock does not count. */
 export class PauseWatch {
   private offsetMs: number;
 
@@ -14,7 +14,7 @@
     this.offsetMs = this.readOffset();
   }
 
-  /** Tells whether there was a pause, or a step of the time of day, since asked. */
+  /** Returns whether the machine paused, or its wall clock stepped, since the last call. */
   hasPaused(): boolean {
     const offsetMs = this.readOffset();
     const stepMs = offsetMs - this.offsetMs;
--- a/src/peering/peer_words.ts
+++ b/src/peering/peer_words.ts
@@ -4,7 +4,7 @@
 import {PeerIdentity} from '../peer/index.js';
 import {createSuspectWords, SuspectPage} from '../quarantine/index.js';
 import {rolloutQuestionSchema} from '../rollout/index.js';
-import {HeardWords} from './heard_words.js';
+import {ReportReceiver} from './report_receiver.js';
 import {
   Acknowledgement,
   acknowledgementSchema,
@@ -16,12 +16,12 @@
 import {optional} from './optional.js';
 import {PauseWatch} from './pause_watch.js';
 import {PeerWordsOptions} from './peer_words_options.js';
-import {ReportWords} from './report_words.js';
-import {RowWords, rowsSchema} from './row_words.js';
-import {SummaryWords} from './summary_words.js';
-import {UsageWords} from './usage_words.js';
+import {ReportMessages} from './report_messages.js';
+import {RowMessages, rowsSchema} from './row_messages.js';
+import {SummaryMessages} from './summary_messages.js';
+import {UsageMessages} from './usage_messages.js';
 
-/** What hosts ask each other. */
+/** Requests between hosts. */
 const messageSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('heartbeat'), report: hostReportSchema}),
   z.object({
@@ -35,23 +35,24 @@
 ]);
 
 /**
- * What entry hosts tell each other, and what they do with it.
+ * Creates and processes the messages between entry hosts.
  *
- * Up to `KnownHosts.isLarge` every host tells every other. Beyond, a host tells the
- * aggregators of its data centre, which sum it up, tell each other across data
- * centres, and answer each host with what all the others do.
+ * In a small fleet every host reports to every other. In a large one (see
+ * `KnownHosts.isLarge`), a host reports to the aggregators of its data centre. These sum
+ * the reports, exchange the sums across data centres, and reply to each host with a
+ * summary of all the others.
  */
 export class PeerWords {
-  private readonly summaries: SummaryWords;
-  private readonly rows: RowWords;
-  private readonly usage: UsageWords;
-  private readonly reports: ReportWords;
-  private readonly heard: HeardWords;
+  private readonly summaries: SummaryMessages;
+  private readonly rows: RowMessages;
+  private readonly usage: UsageMessages;
+  private readonly reports: ReportMessages;
+  private readonly receiver: ReportReceiver;
   private readonly suspects: ChangeWords<SuspectPage>;
   private readonly limits: ChangeWords<LimitPage>;
   private readonly pauses: PauseWatch;
-  /** Hosts that want word of all, which get rows at once. */
-  private readonly wanting = new Set<string>();
+  /** Hosts that request the summary of all hosts; they are sent new rows at once. */
+  private readonly summaryReceivers = new Set<string>();
 
   constructor(private readonly options: PeerWordsOptions) {
     const {clock, self, incarnation} = options;
@@ -61,26 +62,26 @@
       () => toGaugeValue(options.readAge.getOldestMs()),
     );
     this.pauses = new PauseWatch(clock);
-    this.heard = new HeardWords(options);
+    this.receiver = new ReportReceiver(options);
     this.suspects = createSuspectWords(options.quarantine);
     this.limits = createLimitWords(options.limits);
-    this.summaries = new SummaryWords(options);
-    this.rows = new RowWords({
+    this.summaries = new SummaryMessages(options);
+    this.rows = new RowMessages({
       ...options,
       listReceivers: isFirst => this.listReceivers(isFirst),
     });
-    this.usage = new UsageWords({
+    this.usage = new UsageMessages({
       ...options,
       origin: `${self.host}/${incarnation}`,
-      listWitnesses: () => this.listWitnesses(),
+      listSources: () => this.listUsageSources(),
     });
     const {rows, usage, summaries} = this;
-    this.reports = new ReportWords(options, {rows, usage, summaries});
+    this.reports = new ReportMessages(options, {rows, usage, summaries});
   }
 
   /**
-   * Makes a heartbeat as it is now.
-   * @param peer - Whom it is for.
+   * Creates a heartbeat with the current state.
+   * @param peer - The receiver.
    * @param acknowledged - The peer's last reply on this connection; `undefined`
    *   at first.
    */
@@ -88,7 +89,7 @@
     peer: PeerIdentity,
     acknowledged: unknown,
   ): z.input<typeof messageSchema> {
-    this.noticePause();
+    this.checkForPause();
     const reply = acknowledgementSchema.safeParse(acknowledged).data;
     const suspects = this.suspects.create(peer, reply?.suspects);
     const report = this.createReport(peer, reply);
@@ -103,15 +104,15 @@
   }
 
   /**
-   * Takes in the reply to a heartbeat.
-   * @param peer - Who replied.
-   * @param body - The reply; not yet checked.
+   * Processes the reply to a heartbeat.
+   * @param peer - The sender of the reply.
+   * @param body - The reply; not yet validated.
    * @param sentMs - When the heartbeat was sent, monotonic milliseconds.
    */
   receiveReply(peer: PeerIdentity, body: unknown, sentMs: number): void {
     const parsed = heartbeatReplySchema.safeParse(body);
     if (!parsed.success) {
-      this.heard.refuse(peer, parsed.error.issues[0]?.message ?? '');
+      this.receiver.refuse(peer, parsed.error.issues[0]?.message ?? '');
       return;
     }
     const {all, news, sharedMs, usualOffsetMs} = parsed.data;
@@ -122,34 +123,36 @@
     if (usualOffsetMs !== undefined) {
       trueTime.addPeer(peer.host, usualOffsetMs);
     }
-    this.heard.addAll(peer, all);
-    this.heard.addCentre(peer, parsed.data.centre);
+    this.receiver.addAll(peer, all);
+    this.receiver.addCentre(peer, parsed.data.centre);
     this.rows.compare(peer.host, news ?? {}, sentMs);
     this.suspects.receive(peer, parsed.data.suspects);
     this.limits.receive(peer, parsed.data.limits);
   }
 
   /**
-   * Answers a peer.
-   * @param request - What it sent; not yet checked.
-   * @param from - Who it is.
+   * Answers a request of a peer.
+   * @param request - The request; not yet validated.
+   * @param from - The peer.
    */
   async handle(request: unknown, from: PeerIdentity): Promise<unknown> {
     const parsed = messageSchema.safeParse(request);
     if (!parsed.success) {
-      this.heard.refuse(from, parsed.error.issues[0]?.message ?? '');
-      throw new Error('message not understood; run hosts of one release');
+      this.receiver.refuse(from, parsed.error.issues[0]?.message ?? '');
+      throw new Error(
+        'peer message does not match the schema; run all hosts on the same release',
+      );
     }
     const message = parsed.data;
     switch (message.kind) {
       case 'heartbeat':
-        this.noticePause();
+        this.checkForPause();
         this.receive(message.report, from);
         return this.createReply(message.report, from);
       case 'usage':
         return this.usage.list(message.window);
       case 'news':
-        return this.rows.listNews(message.replica, message.after);
+        return this.rows.listUpdates(message.replica, message.after);
       case 'rows':
         this.rows.receive(from.host, message);
         return {};
@@ -161,19 +164,20 @@
     }
   }
 
-  /** Asks the hosts that know of a window's usage. */
+  /** Requests the usage of a window from the hosts that know it. */
   async gatherUsage(window: number): Promise<void> {
     await this.usage.gather(window);
   }
 
   /**
-   * Passes on what is new in a replica to those who hear of it through this host.
-   * @param replica - The replica.
-   * @param wasRead - Whether it was read here, and not told by a peer.
+   * Forwards new rows of a replica to the hosts that receive them through this host.
+   * @param replica - Name of the replica.
+   * @param wasRead - Whether the rows were read from the table by this host, rather than
+   *   received from a peer.
    */
   passOnRows(replica: string, wasRead: boolean): void {
     if (this.options.known.isLarge()) {
-      void this.rows.passOn(replica, wasRead);
+      void this.rows.forward(replica, wasRead);
     }
   }
 
@@ -199,13 +203,13 @@
   }
 
   private receive(report: HostReport, from: PeerIdentity): void {
-    this.heard.addReport(report, from);
+    this.receiver.addReport(report, from);
     this.suspects.receive(from, report.suspects);
     this.limits.receive(from, report.limits);
     if (report.wantsAll === true) {
-      this.wanting.add(from.host);
+      this.summaryReceivers.add(from.host);
     } else {
-      this.wanting.delete(from.host);
+      this.summaryReceivers.delete(from.host);
     }
     this.rows.compare(from.host, report.news);
   }
@@ -214,10 +218,10 @@
     const far = new Set(isFirst ? this.listFarHosts() : []);
     return this.options
       .listConnected()
-      .filter(host => this.wanting.has(host) || far.has(host));
+      .filter(host => this.summaryReceivers.has(host) || far.has(host));
   }
 
-  /** Lists the hosts of other data centres that an aggregator is linked with. */
+  /** Lists the hosts of other data centres, if this host is an aggregator. */
   private listFarHosts(): string[] {
     const {known, self} = this.options;
     if (!known.isAggregator()) {
@@ -229,8 +233,8 @@
       .map(({host}) => host);
   }
 
-  /** Each host while there are few; of many, those that their hosts tell. */
-  private listWitnesses(): string[] {
+  /** Lists every other host, or in a large fleet the aggregator of each data centre. */
+  private listUsageSources(): string[] {
     const {known, self} = this.options;
     if (!known.isLarge()) {
       return known.listAddresses().map(({host}) => host);
@@ -241,14 +245,14 @@
     return first.filter(host => host !== '' && host !== self.host);
   }
 
-  /** What was heard before a pause that the steady clock has not counted is old. */
-  private noticePause(): void {
+  /** Discards what peers reported if the monotonic clock has missed a pause since. */
+  private checkForPause(): void {
     if (this.pauses.hasPaused()) {
       this.options.log.warn('pause_noticed', {forgets: 'word of peers'});
       this.options.reports.forget();
-      this.options.known.forgetWord();
+      this.options.known.forgetReports();
       this.options.readAge.forget();
-      this.summaries.startAnew();
+      this.summaries.reset();
     }
   }
 }
--- a/src/peering/peer_words_options.ts
+++ b/src/peering/peer_words_options.ts
@@ -14,10 +14,10 @@
 import {KnownHosts} from './known_hosts.js';
 import {ReadAge} from './read_age.js';
 
-/** What hosts tell each other is made of. */
+/** Dependencies of the messages between hosts. */
 export interface PeerWordsOptions {
   readonly self: HostAddress;
-  /** Differs for every start of the process. */
+  /** Identifies this run of the process. */
   readonly incarnation: string;
   readonly clock: Clock;
   readonly log: Log;
@@ -32,12 +32,12 @@
   readonly ledger: UsageLedger;
   readonly hostUsage: HostUsage;
   readonly trueTime: TrueTime;
-  /** Tables of which hosts tell each other news, by name. */
+  /** Replicas of the tables whose updates hosts exchange, by name. */
   readonly replicas: ReadonlyMap<string, RowReplica>;
   /**
-   * Answers a host in a roll-out.
-   * @param question - What it tells.
-   * @param origin - The host, and its start.
+   * Answers a rollout message of a host.
+   * @param question - The message.
+   * @param origin - Host and incarnation of the sender.
    */
   readonly answerRollout: (
     question: RolloutQuestionMessage,
--- a/src/peering/read_age.ts
+++ b/src/peering/read_age.ts
@@ -9,7 +9,7 @@
   /** Time of the latest reading by this host, by table, monotonic milliseconds. */
   private readonly ownMs = new Map<string, number>();
   /** Latest time reported by hosts with the same rows, by table, monotonic ms. */
-  private readonly toldMs = new Map<string, number>();
+  private readonly reportedMs = new Map<string, number>();
 
   /**
    * @param clock - Measures the age.
@@ -21,7 +21,7 @@
   ) {}
 
   /**
-   * Notes that a table was read here.
+   * Records that this host has read a table.
    * @param table - The table.
    * @param asOfMs - Lower bound of the time of the reading, monotonic milliseconds.
    */
@@ -34,14 +34,14 @@
    * @param table - The table.
    * @param asOfMs - When those rows matched the table, monotonic milliseconds.
    */
-  addTold(table: string, asOfMs: number): void {
-    setLatest(this.toldMs, table, asOfMs);
+  addReported(table: string, asOfMs: number): void {
+    setLatest(this.reportedMs, table, asOfMs);
   }
 
-  /** Clears all times; needed after a pause that the steady clock has not counted. */
+  /** Clears all times; needed after a pause that the monotonic clock has not counted. */
   forget(): void {
     this.ownMs.clear();
-    this.toldMs.clear();
+    this.reportedMs.clear();
   }
 
   /** Returns the age of this host's latest reading of a table; infinite if none. */
@@ -50,13 +50,13 @@
   }
 
   /** Returns the age of a table as reported by other hosts; infinite if none. */
-  getToldMs(table: string): number {
-    return this.getAgeMs(this.toldMs, table);
+  getReportedMs(table: string): number {
+    return this.getAgeMs(this.reportedMs, table);
   }
 
   /** Returns the lower of the own and the reported age of a table. */
   getMs(table: string): number {
-    return Math.min(this.getOwnMs(table), this.getToldMs(table));
+    return Math.min(this.getOwnMs(table), this.getReportedMs(table));
   }
 
   /** Returns the highest age of all tables. */
--- a/src/peering/report_words.ts
+++ b/src/peering/report_messages.ts
@@ -2,36 +2,36 @@
 import {Acknowledgement, HeartbeatReply, HostReport} from './host_report.js';
 import {optional} from './optional.js';
 import {PeerWordsOptions} from './peer_words_options.js';
-import {RowWords} from './row_words.js';
-import {SummaryWords} from './summary_words.js';
-import {ToldHosts} from './told_hosts.js';
-import {UsageWords} from './usage_words.js';
+import {RowMessages} from './row_messages.js';
+import {SummaryMessages} from './summary_messages.js';
+import {HostListVersion} from './host_list_version.js';
+import {UsageMessages} from './usage_messages.js';
 
-/** Age of word of all hosts beyond which every aggregator is asked, in ms. */
-const WANTED_MS = 1000;
+/** Age of the summary of all hosts beyond which every aggregator is asked for one, in ms. */
+const MAX_SUMMARY_AGE_MS = 1000;
 
-/** What reports are made of besides the options of the words. */
-export interface ReportParts {
-  readonly rows: RowWords;
-  readonly usage: UsageWords;
-  readonly summaries: SummaryWords;
+/** Sources of the sections of a report. */
+export interface ReportSections {
+  readonly rows: RowMessages;
+  readonly usage: UsageMessages;
+  readonly summaries: SummaryMessages;
 }
 
-/** Makes the reports that a host sends with its heartbeats, and replies to them. */
-export class ReportWords {
-  private readonly toldHosts: ToldHosts;
+/** Creates the reports that a host sends with its heartbeats, and the replies to them. */
+export class ReportMessages {
+  private readonly hostListVersion: HostListVersion;
 
   constructor(
     private readonly options: PeerWordsOptions,
-    private readonly parts: ReportParts,
+    private readonly sections: ReportSections,
   ) {
-    this.toldHosts = new ToldHosts(options.clock);
+    this.hostListVersion = new HostListVersion(options.clock);
   }
 
-  /** What a host tells every other one, while there are few. */
+  /** Creates the report to any other host in a small fleet. */
   createReport(reply: Acknowledgement | undefined): HostReport {
     const hosts = this.options.known.listAddresses();
-    const hostsVersion = this.toldHosts.getVersion(hosts);
+    const hostsVersion = this.hostListVersion.getVersion(hosts);
     const isKnown = reply?.hostsVersion === hostsVersion;
     return {
       ...this.createOwnReport(reply === undefined),
@@ -40,20 +40,20 @@
     };
   }
 
-  /** What a host tells an aggregator of its data centre. */
+  /** Creates the report to an aggregator of the same data centre. */
   createMemberReport(peer: PeerIdentity, isFirst: boolean): HostReport {
     const {known, reports, self} = this.options;
     const [first] = known.rankAggregators(self.dataCentre);
-    const isLacking = reports.getAgeOfAllMs() > WANTED_MS;
+    const isOutdated = reports.getAgeOfAllMs() > MAX_SUMMARY_AGE_MS;
     return {
       ...this.createOwnReport(isFirst),
       wantsAll:
-        first?.host !== self.host && (first?.host === peer.host || isLacking),
+        first?.host !== self.host && (first?.host === peer.host || isOutdated),
       ...optional('membersVersion', known.getMembersVersion(peer.host)),
     };
   }
 
-  /** What an aggregator tells one of another data centre. */
+  /** Creates the report to an aggregator of another data centre. */
   createCentreReport(
     peer: PeerIdentity,
     reply: Acknowledgement | undefined,
@@ -63,12 +63,12 @@
       ...this.createEmptyReport(),
       ...optional('membersVersion', known.getMembersVersion(peer.host)),
       ...(known.isAggregator()
-        ? {centre: this.parts.summaries.createCentre(reply?.membersVersion)}
+        ? {centre: this.sections.summaries.createCentre(reply?.membersVersion)}
         : {}),
     };
   }
 
-  /** Replies to a report. */
+  /** Creates the reply to a report. */
   createReply(report: HostReport, from: PeerIdentity): HeartbeatReply {
     const {hostsVersion} = report;
     if (report.centre !== undefined) {
@@ -79,11 +79,11 @@
     }
     const {trueTime} = this.options;
     const all = report.wantsAll
-      ? this.parts.summaries.createAll(from, report.membersVersion)
+      ? this.sections.summaries.createAll(from, report.membersVersion)
       : undefined;
     return {
       hostsVersion,
-      news: this.parts.rows.listStatesWithAge(),
+      news: this.sections.rows.listStatesWithAge(),
       ...optional('all', all),
       ...optional('sharedMs', trueTime.readSharedMs()),
       ...optional('usualOffsetMs', trueTime.getUsualOffset()),
@@ -91,8 +91,9 @@
   }
 
   /**
-   * What an aggregator replies to one of another data centre. One that it does
-   * not tell itself, since it knows of another there, is told in reply.
+   * Creates the reply to an aggregator of another data centre. It contains the summary
+   * of this data centre if this host sends its own heartbeats to another aggregator
+   * there, so that the sender would not get the summary otherwise.
    */
   private createCentreReply(
     {hostsVersion, membersVersion}: HostReport,
@@ -100,14 +101,14 @@
   ): HeartbeatReply {
     const {known} = this.options;
     const [first] = known.rankAggregators(from.dataCentre);
-    const isTold = first?.host === from.host;
+    const isLinked = first?.host === from.host;
     return {
       hostsVersion,
-      news: this.parts.rows.listStatesWithAge(),
+      news: this.sections.rows.listStatesWithAge(),
       ...optional('membersVersion', known.getMembersVersion(from.host)),
-      ...(isTold || !known.isAggregator()
+      ...(isLinked || !known.isAggregator()
         ? {}
-        : {centre: this.parts.summaries.createCentre(membersVersion)}),
+        : {centre: this.sections.summaries.createCentre(membersVersion)}),
     };
   }
 
@@ -119,7 +120,7 @@
       ...optional('capacity', self.capacity),
       hosts: [],
       hostsVersion: 0,
-      news: this.parts.rows.listStates(),
+      news: this.sections.rows.listStates(),
       loads: [],
       prefillByRank: [],
       parts: [],
@@ -162,7 +163,7 @@
       spending: quota
         .listSpending()
         .map(({customer, units}) => [customer, units]),
-      usage: this.parts.usage
+      usage: this.sections.usage
         .listWindows(isFirst)
         .map(({window, counts}) => [window, {...counts}]),
     };
--- a/src/peering/heard_words.ts
+++ b/src/peering/report_receiver.ts
@@ -7,24 +7,24 @@
 import {WorkSummary} from './work_summary.js';
 
 const REFUSED = 'peer_words_refused';
-/** Starts of peers that are remembered with their last summary. */
-const MAX_STARTS = 4096;
+/** Maximum number of peer incarnations whose last summary sequence is kept. */
+const MAX_INCARNATIONS = 4096;
 
-/** Takes in what peers tell of themselves and of others. */
-export class HeardWords {
-  /** Highest sequence of summaries, by the start that made them and its kind. */
+/** Processes what peers report of themselves and of other hosts. */
+export class ReportReceiver {
+  /** Highest sequence of summaries received, by kind and incarnation of the sender. */
   private readonly sequences = new Map<string, number>();
 
   constructor(private readonly options: PeerWordsOptions) {
-    options.metrics.addCounter(REFUSED, 'Words of peers that were refused');
+    options.metrics.addCounter(REFUSED, 'Messages of peers that were refused');
   }
 
-  /** Takes in a peer's report. */
+  /** Processes a peer's report. */
   addReport(report: HostReport, from: PeerIdentity): void {
     const {known, reports, hostUsage, trueTime, quota} = this.options;
     const {host, dataCentre} = from;
     const {address, capacity} = report;
-    known.addHeard({
+    known.addSelfReport({
       host,
       dataCentre,
       address,
@@ -35,7 +35,7 @@
     }
     const origin = `${host}/${from.incarnation}`;
     if (report.centre === undefined) {
-      const counting = reports.hearsOfAll() ? Counting.NONE : Counting.ALL;
+      const counting = reports.hasSummaryOfAll() ? Counting.NONE : Counting.ALL;
       reports.addReport(from, report);
       quota.addPeerSpending(origin, toSpending(report.spending), counting);
       this.addParts(report.parts);
@@ -50,34 +50,37 @@
     }
   }
 
-  /** Takes in what the hosts of another data centre have under way. */
+  /** Processes the summary of the work of another data centre's hosts. */
   addCentre(from: PeerIdentity, centre: WorkSummary | undefined): void {
-    if (centre !== undefined && this.isNext(from, MemberScope.CENTRE, centre)) {
-      const goesOn = this.options.reports.addCentre(from, centre);
-      this.addSummary(from, MemberScope.CENTRE, centre, goesOn);
+    if (
+      centre !== undefined &&
+      this.isNewer(from, MemberScope.CENTRE, centre)
+    ) {
+      const isSameSender = this.options.reports.addCentre(from, centre);
+      this.addSummary(from, MemberScope.CENTRE, centre, isSameSender);
     }
   }
 
-  /** Takes in what all other hosts have under way. */
+  /** Processes the summary of the work of all other hosts. */
   addAll(from: PeerIdentity, all: WorkSummary | undefined): void {
-    if (all !== undefined && this.isNext(from, MemberScope.ALL, all)) {
-      const goesOn = this.options.reports.addAll(from, all);
-      this.addSummary(from, MemberScope.ALL, all, goesOn);
+    if (all !== undefined && this.isNewer(from, MemberScope.ALL, all)) {
+      const isSameSender = this.options.reports.addAll(from, all);
+      this.addSummary(from, MemberScope.ALL, all, isSameSender);
     }
   }
 
-  /** Counts and logs what cannot be taken in. */
+  /** Counts and logs a message that is refused. */
   refuse(from: PeerIdentity, detail: string): void {
     this.options.metrics.increment(REFUSED, {peer: from.host});
     this.options.log.warn(REFUSED, {peer: from.host, detail});
   }
 
-  /** Takes in of a summary what is the same for every kind. */
+  /** Processes the parts of a summary that are the same for every kind. */
   private addSummary(
     from: PeerIdentity,
     kind: MemberScope,
     summary: WorkSummary,
-    goesOn: boolean,
+    isSameSender: boolean,
   ): void {
     const {known, quota} = this.options;
     const {membersVersion, members} = summary;
@@ -86,19 +89,19 @@
     quota.addPeerSpending(
       `${kind}:${from.host}/${from.incarnation}`,
       toSpending(summary.spending),
-      goesOn ? Counting.LATER : Counting.NONE,
+      isSameSender ? Counting.LATER : Counting.NONE,
     );
   }
 
-  /** Tells whether a summary is later than those its sender made before. */
-  private isNext(
+  /** Returns whether a summary is newer than the previous ones of its sender. */
+  private isNewer(
     from: PeerIdentity,
     kind: MemberScope,
     {sequence}: WorkSummary,
   ): boolean {
     const key = `${kind}:${from.host}/${from.incarnation}`;
     if (sequence <= (this.sequences.get(key) ?? 0)) {
-      this.refuse(from, `summary ${sequence} came late`);
+      this.refuse(from, `summary ${sequence} is not newer than the last one`);
       return false;
     }
     this.sequences.delete(key);
@@ -107,10 +110,10 @@
     return true;
   }
 
-  /** Forgets the start that has told nothing for longest. */
+  /** Drops the least recently received sequence if too many are kept. */
   private trim(): void {
     const [oldest] = this.sequences.keys();
-    if (this.sequences.size > MAX_STARTS && oldest !== undefined) {
+    if (this.sequences.size > MAX_INCARNATIONS && oldest !== undefined) {
       this.sequences.delete(oldest);
     }
   }
@@ -123,7 +126,7 @@
 }
 
 function toSpending(
-  told: readonly (readonly [string, number])[],
+  entries: readonly (readonly [string, number])[],
 ): {customer: string; units: number}[] {
-  return told.map(([customer, units]) => ({customer, units}));
+  return entries.map(([customer, units]) => ({customer, units}));
 }
--- a/src/peering/row_words.ts
+++ b/src/peering/row_messages.ts
@@ -13,71 +13,74 @@
 import {Clock} from '../time/index.js';
 import {ReadAge} from './read_age.js';
 
-/** What is told of a replica that is not there. */
-const NOTHING: RowChanges = {
+/** Reply to a request for a replica that does not exist. */
+const NO_CHANGES: RowChanges = {
   rows: [],
   after: 0,
   state: {version: 0, digest: 0},
 };
-const PULL_MS = 1000;
-/** Time in which changes that come together are gathered, in milliseconds. */
-const GATHER_MS = 10;
+const PULL_TIMEOUT_MS = 1000;
+/** Time for which changes are collected before they are forwarded, in milliseconds. */
+const COLLECT_MS = 10;
 
 const DIFFERENT_METRIC = 'replicas_different';
 
-/** Rows that a peer passes on at once, since they are news. */
+/** Message with new rows, which a peer forwards at once. */
 export const rowsSchema = z.object({
   kind: z.literal('rows'),
   replica: z.string(),
   changes: rowChangesSchema,
 });
 
-/** What each replica of a host holds, by name. */
-export const newsSchema = z.record(z.string().max(200), replicaStateSchema);
+/** States of a host's replicas, by name. */
+export const replicaStatesSchema = z.record(
+  z.string().max(200),
+  replicaStateSchema,
+);
 
-/** What the words of rows are made of. */
-export interface RowWordsOptions {
+/** Dependencies of the messages with table rows. */
+export interface RowMessagesOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Tables of which hosts tell each other news, by name. */
+  /** Replicas of the tables whose updates hosts exchange, by name. */
   readonly replicas: ReadonlyMap<string, RowReplica>;
-  /** When the replicas last matched the tables. */
+  /** Times at which the replicas last matched the tables. */
   readonly readAge: ReadAge;
   readonly requestPeer: Peers['request'];
   /**
-   * Returns the connected peers that are to get rows at once.
-   * @param isFirst - Whether the rows were read here, so that nobody else has told
-   *   other data centres.
+   * Returns the connected peers that are sent new rows at once.
+   * @param isFirst - Whether this host has read the rows from the table, so that no
+   *   other host has sent them to other data centres.
    */
   readonly listReceivers: (isFirst: boolean) => readonly string[];
 }
 
 /**
- * News of the platform's tables, from peer to peer.
+ * Exchanges updates of the platform's tables between peers.
  *
- * Each host tells what its replicas hold in two numbers; whoever holds less asks for
- * what it lacks. What is new is passed on at once besides.
+ * Each host reports the version and digest of its replicas, and a host that is behind
+ * requests the missing rows. In addition, new rows are forwarded at once.
  */
-export class RowWords {
+export class RowMessages {
   private readonly pulling = new Set<string>();
-  /** What was passed on last, by replica. */
-  private readonly passed = new Map<string, ForwardPosition>();
-  /** Replicas whose changes are being gathered, and whether any was read here. */
-  private readonly gathering = new Map<string, boolean>();
+  /** Position up to which changes were forwarded, by replica. */
+  private readonly forwarded = new Map<string, ForwardPosition>();
+  /** Replicas whose changes are being collected, and whether this host read any of them. */
+  private readonly collecting = new Map<string, boolean>();
   /** Version at which a difference from a peer was last reported, by replica. */
   private readonly reportedVersions = new Map<string, number>();
 
-  constructor(private readonly options: RowWordsOptions) {
+  constructor(private readonly options: RowMessagesOptions) {
     options.metrics.addCounter(
       DIFFERENT_METRIC,
       'Replicas that differ from a peer’s at the same version',
     );
   }
 
-  /** Returns what each replica holds. */
-  listStates(): z.input<typeof newsSchema> {
-    const states: z.input<typeof newsSchema> = {};
+  /** Returns the version and digest of each replica. */
+  listStates(): z.input<typeof replicaStatesSchema> {
+    const states: z.input<typeof replicaStatesSchema> = {};
     for (const [name, replica] of this.options.replicas) {
       states[name] = replica.getState();
     }
@@ -85,8 +88,8 @@
   }
 
   /** Returns the version, digest and age of each replica. */
-  listStatesWithAge(): z.input<typeof newsSchema> {
-    const states: z.input<typeof newsSchema> = {};
+  listStatesWithAge(): z.input<typeof replicaStatesSchema> {
+    const states: z.input<typeof replicaStatesSchema> = {};
     for (const [name, replica] of this.options.replicas) {
       states[name] = this.getStateWithAge(name, replica);
     }
@@ -94,33 +97,33 @@
   }
 
   /**
-   * Answers a peer that asks for news.
-   * @param name - The replica.
+   * Answers a peer's request for updates.
+   * @param name - Name of the replica.
    * @param after - Version up to which the peer is complete.
    */
-  listNews(name: string, after: number): RowChanges {
+  listUpdates(name: string, after: number): RowChanges {
     const replica = this.options.replicas.get(name);
     if (replica === undefined) {
-      return NOTHING;
+      return NO_CHANGES;
     }
     const changes = replica.listChangesSince(after);
     return {...changes, state: this.getStateWithAge(name, replica)};
   }
 
   /**
-   * Compares the replicas with a peer's, and requests news where the peer is ahead.
+   * Compares the replicas with a peer's, and requests updates where the peer is ahead.
    * @param host - The peer.
-   * @param told - What its replicas hold.
+   * @param states - States of its replicas.
    * @param sentMs - When the request was sent that the peer replied to, monotonic
    *   milliseconds; ages are counted from then. Without it, ages are ignored.
    */
   compare(
     host: string,
-    told: z.output<typeof newsSchema>,
+    states: z.output<typeof replicaStatesSchema>,
     sentMs?: number,
   ): void {
     for (const [name, replica] of this.options.replicas) {
-      const state = told[name];
+      const state = states[name];
       if (state === undefined) {
         continue;
       }
@@ -132,7 +135,7 @@
     }
   }
 
-  /** Takes in rows that a peer passed on. */
+  /** Merges rows that a peer forwarded, and requests the ones missed before them. */
   receive(
     host: string,
     {replica: name, changes}: z.output<typeof rowsSchema>,
@@ -148,32 +151,34 @@
   }
 
   /**
-   * Passes on what is new in a replica, once the changes that come with it are in.
-   * @param name - The replica.
-   * @param wasRead - Whether the change was read here, and not told by a peer.
+   * Forwards new rows of a replica after a short delay, together with the changes that
+   * arrive in it.
+   * @param name - Name of the replica.
+   * @param wasRead - Whether the change was read from the table by this host, rather
+   *   than received from a peer.
    */
-  async passOn(name: string, wasRead: boolean): Promise<void> {
+  async forward(name: string, wasRead: boolean): Promise<void> {
     const replica = this.options.replicas.get(name);
     if (replica === undefined) {
       return;
     }
-    const isGathering = this.gathering.has(name);
-    this.gathering.set(name, wasRead || this.gathering.get(name) === true);
-    if (isGathering) {
+    const isCollecting = this.collecting.has(name);
+    this.collecting.set(name, wasRead || this.collecting.get(name) === true);
+    if (isCollecting) {
       return;
     }
-    await this.options.clock.sleep(GATHER_MS);
-    const isFirst = this.gathering.get(name) === true;
-    this.gathering.delete(name);
-    const changes = replica.listChangesToForward(this.passed.get(name));
-    this.passed.set(name, replica.getForwardPosition());
+    await this.options.clock.sleep(COLLECT_MS);
+    const isFirst = this.collecting.get(name) === true;
+    this.collecting.delete(name);
+    const changes = replica.listChangesToForward(this.forwarded.get(name));
+    this.forwarded.set(name, replica.getForwardPosition());
     const body: z.input<typeof rowsSchema> = {
       kind: 'rows',
       replica: name,
       changes,
     };
     for (const host of this.options.listReceivers(isFirst)) {
-      void this.options.requestPeer(host, body, PULL_MS);
+      void this.options.requestPeer(host, body, PULL_TIMEOUT_MS);
     }
   }
 
@@ -204,7 +209,7 @@
     });
   }
 
-  /** Asks a peer for what it has that is newer; one question at a time. */
+  /** Requests newer rows from a peer; one request per replica at a time. */
   private async pull(
     name: string,
     replica: RowReplica,
@@ -216,19 +221,21 @@
     this.pulling.add(name);
     const body = {kind: 'news', replica: name, after: replica.getNewsVersion()};
     const sentMs = this.options.clock.monotonicMs();
-    const reply = await this.options.requestPeer(host, body, PULL_MS);
+    const reply = await this.options.requestPeer(host, body, PULL_TIMEOUT_MS);
     this.pulling.delete(name);
-    const news = rowChangesSchema.safeParse(reply.unwrapOr(undefined));
-    if (!news.success) {
+    const changes = rowChangesSchema.safeParse(reply.unwrapOr(undefined));
+    if (!changes.success) {
       this.options.log.warn('pull_failed', {
         peer: host,
         table: name,
-        detail: reply.isErr ? reply.error.message : 'reply not understood',
+        detail: reply.isErr
+          ? reply.error.message
+          : 'reply does not match the schema',
       });
       return;
     }
-    replica.addTold(news.data, `peer:${host}`);
-    this.adoptAge(name, replica, news.data.state, sentMs);
+    replica.addTold(changes.data, `peer:${host}`);
+    this.adoptAge(name, replica, changes.data.state, sentMs);
   }
 
   private getStateWithAge(name: string, replica: RowReplica): ReplicaState {
@@ -251,14 +258,14 @@
       return;
     }
     if (replica.hasSameRows(state)) {
-      this.options.readAge.addTold(name, sentMs - ageMs);
+      this.options.readAge.addReported(name, sentMs - ageMs);
     }
   }
 }
 
 /**
- * Tells whether a peer's replica has news. While nothing is known for certain, any
- * row that the peer has may be.
+ * Returns whether a peer's replica may have rows that this one lacks. At version 0,
+ * nothing is known to be complete, so the peer's version does not matter.
  */
 function isBehind(replica: RowReplica, state: ReplicaState): boolean {
   const version = replica.getNewsVersion();
--- a/src/peering/summary_words.ts
+++ b/src/peering/summary_messages.ts
@@ -3,15 +3,15 @@
 import {Clock} from '../time/index.js';
 import {Fleet} from '../fleet/index.js';
 import {HostAddress} from './host_address.js';
-import {HostReports, HostWord} from './host_reports.js';
+import {HostReports, OwnReport} from './host_reports.js';
 import {HostWork} from './host_work.js';
 import {KnownHosts} from './known_hosts.js';
-import {ToldHosts} from './told_hosts.js';
+import {HostListVersion} from './host_list_version.js';
 import {subtractWork} from './work_sum.js';
 import {WorkSummary} from './work_summary.js';
 
-/** What summaries are made of. */
-export interface SummaryWordsOptions {
+/** Dependencies of the summaries. */
+export interface SummaryMessagesOptions {
   readonly self: HostAddress;
   readonly clock: Clock;
   readonly known: KnownHosts;
@@ -21,13 +21,13 @@
   readonly holdsDuties: () => boolean;
 }
 
-/** What is the same in summaries of one moment for all who get them. */
+/** The part of a summary that is the same for all receivers at one time. */
 interface SummaryBase {
-  readonly madeMs: number;
+  readonly createdMs: number;
   readonly hops: number;
   readonly work: HostWork;
-  /** What is summed up of hosts that told it themselves, by host. */
-  readonly words: ReadonlyMap<string, HostWord>;
+  /** Own reports of hosts that are included in the sum, by host. */
+  readonly ownReports: ReadonlyMap<string, OwnReport>;
   readonly members: readonly HostAddress[];
   readonly membersVersion: number;
   readonly spending: readonly Spending[];
@@ -35,44 +35,44 @@
 }
 
 /**
- * Time from the start, or from a pause, after which a host can sum up what others
- * do, in milliseconds: by then each has told it once.
+ * Time after the start, or after a pause, before a host creates summaries of all hosts,
+ * in milliseconds: by then each host has reported to it once.
  */
-const LEARN_MS = 1200;
-/** Shared parts shorter than this are not told of many hosts, in tokens. */
+const LEARNING_MS = 1200;
+/** Minimum length of a shared part of a prompt to be included in a summary, in tokens. */
 const MIN_PART_TOKENS = 1024;
 /**
- * Age up to which a sum is told to further hosts, in milliseconds: less than half
- * a heartbeat, so that of many hosts' heartbeats few make a sum. At 195 hosts the
- * answer to one takes 0.3 ms of an aggregator, 1.3 ms with a sum for each.
+ * Age up to which a sum is reused for further hosts, in milliseconds: less than half a
+ * heartbeat interval, but long enough that few of many hosts' heartbeats compute a sum.
+ * At 195 hosts, a reply takes an aggregator 0.3 ms, and 1.3 ms with a sum for each.
  */
-const SUM_MS = 150;
+const MAX_SUM_AGE_MS = 150;
 
-/** Makes the summaries by which many hosts hear of each other through a few. */
-export class SummaryWords {
-  private readonly toldHere: ToldHosts;
-  private readonly toldAll: ToldHosts;
+/** Creates the summaries by which many hosts learn of each other through a few. */
+export class SummaryMessages {
+  private readonly centreListVersion: HostListVersion;
+  private readonly allListVersion: HostListVersion;
   private sequence = 0;
-  private learntMs: number;
+  private readyMs: number;
   private centre: SummaryBase | undefined;
   private all: SummaryBase | undefined;
 
-  constructor(private readonly options: SummaryWordsOptions) {
-    this.toldHere = new ToldHosts(options.clock);
-    this.toldAll = new ToldHosts(options.clock);
-    this.learntMs = options.clock.monotonicMs() + LEARN_MS;
+  constructor(private readonly options: SummaryMessagesOptions) {
+    this.centreListVersion = new HostListVersion(options.clock);
+    this.allListVersion = new HostListVersion(options.clock);
+    this.readyMs = options.clock.monotonicMs() + LEARNING_MS;
   }
 
-  /** Notes that all that was heard is forgotten. */
-  startAnew(): void {
-    this.learntMs = this.options.clock.monotonicMs() + LEARN_MS;
+  /** Discards the sums after all reports were dropped, and waits for new reports. */
+  reset(): void {
+    this.readyMs = this.options.clock.monotonicMs() + LEARNING_MS;
     this.centre = undefined;
     this.all = undefined;
   }
 
   /**
-   * Sums up this data centre for an aggregator of another one.
-   * @param acknowledged - Number of the list of hosts that it knows.
+   * Creates the summary of this data centre for an aggregator of another one.
+   * @param acknowledged - Version of the list of hosts that the receiver has.
    */
   createCentre(acknowledged: number | undefined): WorkSummary {
     if (this.centre === undefined || this.isOld(this.centre)) {
@@ -83,74 +83,74 @@
   }
 
   /**
-   * Sums up all hosts but one, for that one; nothing while this host knows too
-   * little of them.
-   * @param peer - Whom it is for.
-   * @param acknowledged - Number of the list of hosts that it knows.
+   * Creates the summary of all hosts except the receiver; `undefined` while this host
+   * cannot yet have received all reports.
+   * @param peer - The receiver.
+   * @param acknowledged - Version of the list of hosts that the receiver has.
    */
   createAll(
     peer: PeerIdentity,
     acknowledged: number | undefined,
   ): WorkSummary | undefined {
-    if (this.options.clock.monotonicMs() < this.learntMs) {
+    if (this.options.clock.monotonicMs() < this.readyMs) {
       return undefined;
     }
     if (this.all === undefined || this.isOld(this.all)) {
       this.all = this.sumAll();
     }
     const base = this.all;
-    const word = base.words.get(peer.host);
+    const ownReport = base.ownReports.get(peer.host);
     const work =
-      word === undefined
+      ownReport === undefined
         ? base.work
-        : subtractWork(base.work, word.work, word.ageMs);
-    const itself = this.options.quota.listSpendingOf(
+        : subtractWork(base.work, ownReport.work, ownReport.ageMs);
+    const ownSpending = this.options.quota.listSpendingOf(
       `${peer.host}/${peer.incarnation}`,
     );
-    const spending = subtractSpending(base.spending, itself);
+    const spending = subtractSpending(base.spending, ownSpending);
     const summary = this.create(base, work, spending, acknowledged);
-    // The list is the same for all, and so may have the receiver in it.
+    // The list is the same for all receivers, and so may include this one.
     const isListed = base.members.some(({host}) => host === peer.host);
     return {...summary, hosts: summary.hosts - (isListed ? 1 : 0)};
   }
 
   private sumCentre(): SummaryBase {
     const {self, known, reports, quota, holdsDuties} = this.options;
-    const members = [self, ...known.listHeardHere()];
+    const members = [self, ...known.listReportingHere()];
     const sum = reports.sumHere();
     sum.add(this.getOwnWork(), 0);
     const here = new Set(members.map(({host}) => host));
     return {
-      madeMs: this.options.clock.monotonicMs(),
+      createdMs: this.options.clock.monotonicMs(),
       hops: 0,
       work: sum.get(),
-      words: new Map(),
+      ownReports: new Map(),
       members,
-      membersVersion: this.toldHere.getVersion(members),
+      membersVersion: this.centreListVersion.getVersion(members),
       spending: quota.sumSpending(origin => here.has(getHost(origin))),
-      holdsDuties: holdsDuties() || reports.hearsHolderHere(),
+      holdsDuties: holdsDuties() || reports.knowsHolderHere(),
     };
   }
 
   private sumAll(): SummaryBase {
     const {self, known, reports, quota, holdsDuties} = this.options;
-    const told = known.isAggregator() ? undefined : reports.sumTold();
-    const sum = told ?? reports.sumVouched();
+    const forwarded = known.isAggregator() ? undefined : reports.sumForwarded();
+    const sum = forwarded ?? reports.sumConfirmed();
     sum.add(this.getOwnWork(), 0);
-    const isTold = told !== undefined;
-    const others = isTold ? known.listAlive() : known.listVouched();
+    const isForwarded = forwarded !== undefined;
+    const others = isForwarded ? known.listAlive() : known.listConfirmed();
     const members = [self, ...others];
-    // What an aggregator told has those in it that it heard of itself.
-    const words = [...reports.listOwnWords()].filter(
-      ([host]) => !isTold || known.isTold(host),
+    // A forwarded summary includes only the hosts on its aggregator's list.
+    const ownReports = [...reports.listOwnReports()].filter(
+      ([host]) => !isForwarded || known.isInListOfAll(host),
     );
     return {
-      madeMs: this.options.clock.monotonicMs(),
-      hops: isTold ? 1 : 0,
+      createdMs: this.options.clock.monotonicMs(),
+      hops: isForwarded ? 1 : 0,
       work: sum.get(),
-      words: new Map(words),
+      ownReports: new Map(ownReports),
       members,
-      membersVersion: this.toldAll.getVersion(members),
+      membersVersion: this.allListVersion.getVersion(members),
       spending: quota.sumSpending(() => true),
       holdsDuties: holdsDuties() || reports.hearsHolder(),
     };
@@ -184,8 +184,8 @@
     };
   }
 
-  private isOld({madeMs}: SummaryBase): boolean {
-    return this.options.clock.monotonicMs() - madeMs > SUM_MS;
+  private isOld({createdMs}: SummaryBase): boolean {
+    return this.options.clock.monotonicMs() - createdMs > MAX_SUM_AGE_MS;
   }
 
   private getOwnWork(): HostWork {
@@ -208,7 +208,7 @@
   }
 }
 
-/** Returns the host of an origin, which is a host and its start. */
+/** Returns the host of an origin, which consists of a host and its incarnation. */
 function getHost(origin: string): string {
   return origin.slice(0, origin.lastIndexOf('/'));
 }
--- a/src/peering/table_reading.ts
+++ b/src/peering/table_reading.ts
@@ -4,61 +4,63 @@
 import {KnownHosts} from './known_hosts.js';
 import {ReadAge} from './read_age.js';
 
-/** What decides who reads the platform's tables. */
+/** Dependencies and timing of the decision whether a host reads the tables. */
 export interface TableReadingOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly known: KnownHosts;
   readonly readAge: ReadAge;
-  /** Tells whether this host has read who there is. */
+  /** Returns whether this host has read which other hosts exist. */
   readonly knowsOthers: () => boolean;
-  /** Time in which what stands in a table has to be known everywhere, in ms. */
+  /** Time within which a table's content must be known on every host, in ms. */
   readonly getNewsMs: () => number;
 }
 
 /**
- * Share of the time for news at which a host whose word of a reader is that old
- * reads for itself: what is left is for the reading, and for telling others.
+ * Age reported by peers at which a host reads a table itself, as a share of the time for
+ * updates: the rest is for the reading and for forwarding it to other hosts.
  */
-const TOLD_SHARE = 0.7;
-/** The same for aggregators, which many others hear of it from. */
+const REPORTED_SHARE = 0.7;
+/** The same for aggregators, from which many other hosts receive the reported age. */
 const AGGREGATOR_SHARE = 0.6;
 /** Number of hosts that `isTableReader` selects. */
 const READER_COUNT = 2;
 /**
- * Longest wait for a change, in milliseconds. It bounds the time to detect a silent
- * connection: servers that leave must be known within two seconds of a healed link.
+ * Longest wait for a change, in milliseconds. It bounds the time to detect a connection
+ * that does not respond: servers that leave must be known within two seconds after a
+ * link is repaired.
  */
 const MAX_WAIT_MS = 1500;
 /**
- * Longest wait of a table reader for a change, as a share of the time for news. The
+ * Longest wait of a table reader for a change, as a share of the time for updates. The
  * age that it reports to other hosts goes down only when a request completes.
  */
 const READER_WAIT_SHARE = 0.15;
-/** Time from the start in which a host learns who there is, in milliseconds. */
-const MEET_MS = 400;
+/** Time after the start for which a host waits to learn of others, in milliseconds. */
+const DISCOVERY_MS = 400;
 /**
- * Spread of the first reading over hosts that start together, in milliseconds. A
- * host that knows nothing does not wait to be told: that takes a second or more,
- * in which its callers wait for the first configuration.
+ * Interval over which hosts that start together spread their first reading, in
+ * milliseconds. A host that knows nothing does not wait for a peer's report: that takes
+ * a second or more, in which its callers wait for the first configuration.
  */
 const SPREAD_MS = 200;
 /**
- * Mean pause between tries of a host that hears of no reader, in milliseconds:
- * all hosts then try, and what they ask of a store that is down costs as much.
+ * Mean interval between attempts of a host without a recent report of a reader, in
+ * milliseconds. All hosts make attempts then, and a request costs as much while the
+ * store is down.
  */
-const ALONE_MS = 2000;
+const RETRY_MS = 2000;
 
 /**
- * Decides whether a host reads the platform's tables. Few hosts all do, in turn. Of
- * many, the aggregators of two data centres do, and tell the others; a host that is
- * not told in time reads for itself until it is.
+ * Decides whether a host reads the platform's tables. In a small fleet all hosts do, in
+ * turn. In a large one, the aggregators of two data centres do and report to the others;
+ * a host without a recent report reads for itself until it gets one.
  */
 export class TableReading {
   private readonly startMs: number;
   private readonly spreadMs: number;
-  /** Until when a table is not tried by a host without word, monotonic ms. */
-  private readonly restsUntilMs = new Map<string, number>();
+  /** Until when a host without a recent report makes no attempt, by table, monotonic ms. */
+  private readonly pausedUntilMs = new Map<string, number>();
   /** Time of the last successful request to the store by table, monotonic ms. */
   private readonly lastResponseMs = new Map<string, number>();
 
@@ -68,22 +70,22 @@
   }
 
   /**
-   * Tells whether this host need not read now.
-   * @param table - What it would read.
+   * Returns whether this host need not read a table now.
+   * @param table - Name of the table.
    */
   rests(table: string): boolean {
     const {clock, known, readAge, knowsOthers} = this.options;
     const ageMs = clock.monotonicMs() - this.startMs;
-    if (!knowsOthers() && ageMs < MEET_MS) {
+    if (!knowsOthers() && ageMs < DISCOVERY_MS) {
       return true;
     }
     if (!known.isLarge() || isTableReader(known)) {
       return false;
     }
-    if (readAge.getToldMs(table) < this.getMaxToldMs()) {
+    if (readAge.getReportedMs(table) < this.getMaxReportedMs()) {
       return true;
     }
-    return ageMs < this.spreadMs || this.restsAlone(table);
+    return ageMs < this.spreadMs || this.isPaused(table);
   }
 
   /**
@@ -92,7 +94,7 @@
    */
   addResponse(table: string): void {
     this.lastResponseMs.set(table, this.options.clock.monotonicMs());
-    this.restsUntilMs.delete(table);
+    this.pausedUntilMs.delete(table);
   }
 
   /** Returns the number of hosts that share the reading, this one included. */
@@ -109,33 +111,33 @@
       : MAX_WAIT_MS;
   }
 
-  /** Tells whether this host reads the tables on behalf of the others. */
+  /** Returns whether this host reads the tables on behalf of the others. */
   private isDesignatedReader(): boolean {
     const {known} = this.options;
     return known.isLarge() && isTableReader(known);
   }
 
-  private getMaxToldMs(): number {
+  private getMaxReportedMs(): number {
     const {known, getNewsMs} = this.options;
-    const share = known.isAggregator() ? AGGREGATOR_SHARE : TOLD_SHARE;
+    const share = known.isAggregator() ? AGGREGATOR_SHARE : REPORTED_SHARE;
     return getNewsMs() * share;
   }
 
-  /** Spreads the tries of hosts that have no word, once they have none. */
-  private restsAlone(table: string): boolean {
+  /** Spreads the attempts of hosts that have no recent report. */
+  private isPaused(table: string): boolean {
     const {clock, random} = this.options;
     const nowMs = clock.monotonicMs();
     const responseMs =
       this.lastResponseMs.get(table) ?? Number.NEGATIVE_INFINITY;
-    if (nowMs - responseMs < this.getMaxToldMs()) {
-      // It reads, and goes on until others tell it again.
+    if (nowMs - responseMs < this.getMaxReportedMs()) {
+      // It reads successfully, and continues until it gets a recent report again.
       return false;
     }
-    if (nowMs < (this.restsUntilMs.get(table) ?? 0)) {
+    if (nowMs < (this.pausedUntilMs.get(table) ?? 0)) {
       return true;
     }
-    const pauseMs = ALONE_MS * (0.5 + random.next());
-    this.restsUntilMs.set(table, nowMs + pauseMs);
+    const pauseMs = RETRY_MS * (0.5 + random.next());
+    this.pausedUntilMs.set(table, nowMs + pauseMs);
     return false;
   }
 }
--- a/src/peering/usage_words.ts
+++ b/src/peering/usage_messages.ts
@@ -3,37 +3,37 @@
 import {Peers} from '../peer/index.js';
 import {HostUsage, UsageLedger, WindowUsage} from '../usage/index.js';
 
-/** Origins in one reply, at most. */
+/** Maximum number of origins in one reply. */
 const MAX_ORIGINS = 10_000;
-const GATHER_MS = 500;
-/** Windows that may still change: the one that runs, and the one before it. */
+const REQUEST_TIMEOUT_MS = 500;
+/** Number of windows that may still change: the current one and the one before it. */
 const OPEN_WINDOWS = 2;
 
-/** Reply to a question for usage: origins with their counts. */
+/** Reply to a request for usage: origins with their counts. */
 const usageSchema = z
   .array(z.tuple([z.string(), z.record(z.string(), z.number().min(0))]))
   .max(MAX_ORIGINS);
 
-/** What the words of usage are made of. */
-export interface UsageWordsOptions {
-  /** Host and start of this process. */
+/** Dependencies of the messages about usage. */
+export interface UsageMessagesOptions {
+  /** Host and incarnation of this process. */
   readonly origin: string;
   readonly log: Log;
   readonly ledger: UsageLedger;
   readonly hostUsage: HostUsage;
   readonly requestPeer: Peers['request'];
-  /** Returns the hosts that know, together, of every host's usage. */
-  readonly listWitnesses: () => readonly string[];
+  /** Returns the hosts that together know the usage of every host. */
+  readonly listSources: () => readonly string[];
 }
 
-/** Counts of each window, from peer to peer. */
-export class UsageWords {
-  constructor(private readonly options: UsageWordsOptions) {}
+/** Exchanges the request counts of each window between peers. */
+export class UsageMessages {
+  constructor(private readonly options: UsageMessagesOptions) {}
 
   /**
-   * Lists this host's windows.
-   * @param all - Whether to list those that have ended, too: they change no more,
-   *   and a peer that has heard before knows them.
+   * Lists the counts of this host's windows.
+   * @param all - Whether to include the windows that have ended. They no longer change,
+   *   so a peer that has received a report before has them.
    */
   listWindows(all: boolean): WindowUsage[] {
     const windows = this.options.ledger.list();
@@ -41,7 +41,7 @@
     return windows.filter(({window}) => all || window > newest - OPEN_WINDOWS);
   }
 
-  /** Lists what is known of a window, by origin. */
+  /** Lists the known counts of a window, by origin. */
   list(window: number): z.input<typeof usageSchema> {
     const {hostUsage, ledger, origin} = this.options;
     const others = hostUsage
@@ -53,15 +53,19 @@
     return [...others, [origin, {...ledger.getCounts(window)}]];
   }
 
-  /** Asks the hosts that know of a window's usage. */
+  /** Requests the counts of a window from the hosts that know them. */
   async gather(window: number): Promise<void> {
-    const hosts = this.options.listWitnesses();
-    await Promise.all(hosts.map(host => this.ask(host, window)));
+    const hosts = this.options.listSources();
+    await Promise.all(hosts.map(host => this.request(host, window)));
   }
 
-  private async ask(host: string, window: number): Promise<void> {
+  private async request(host: string, window: number): Promise<void> {
     const {requestPeer, hostUsage, log} = this.options;
-    const reply = await requestPeer(host, {kind: 'usage', window}, GATHER_MS);
+    const reply = await requestPeer(
+      host,
+      {kind: 'usage', window},
+      REQUEST_TIMEOUT_MS,
+    );
     const parsed = usageSchema.safeParse(reply.unwrapOr(undefined));
     if (!parsed.success) {
       log.warn('usage_not_told', {peer: host, window});
--- a/src/peering/work_sum.ts
+++ b/src/peering/work_sum.ts
@@ -5,16 +5,16 @@
 } from '../fleet/index.js';
 import {HostWork, Rates} from './host_work.js';
 
-/** Pending prompt tokens of a rank that are not worth telling: a few steps. */
+/** Pending prompt tokens of a rank below which they are not reported: a few steps. */
 const MIN_PENDING_TOKENS = 500;
 
-/** Running requests and pending tokens at one server, as they are summed. */
+/** Sums of running requests and pending tokens at one server. */
 interface ServerSum {
   running: number;
   readonly tokens: Map<number, number>;
 }
 
-/** Sums what several hosts told; nothing is counted twice that is added once. */
+/** Sums the work of several hosts; the caller must add each host only once. */
 export class WorkSum {
   private readonly servers = new Map<string, ServerSum>();
   private readonly prefill = new Map<string, number>();
@@ -27,7 +27,8 @@
   /**
    * Adds work.
    * @param work - The work.
-   * @param ageMs - Time since it was so: prompts are computed meanwhile.
+   * @param ageMs - Age of the work, in milliseconds. The tokens that the servers have
+   *   computed since then are subtracted.
    */
   add(work: HostWork, ageMs: number): void {
     for (const load of work.loads) {
@@ -56,7 +57,7 @@
       tokens: new Map<number, number>(),
     };
     sum.running += load.running;
-    for (const {urgency, tokens} of listLeft(load, ageMs)) {
+    for (const {urgency, tokens} of listRemaining(load, ageMs)) {
       sum.tokens.set(urgency, (sum.tokens.get(urgency) ?? 0) + tokens);
     }
     this.servers.set(load.server, sum);
@@ -77,10 +78,10 @@
 }
 
 /**
- * Takes one host's part out of a sum.
+ * Subtracts one host's work from a sum.
  * @param whole - The sum.
- * @param part - What was added to it.
- * @param ageMs - The age at which it was.
+ * @param part - The work of the host that was added to the sum.
+ * @param ageMs - Age of that work when it was added, in milliseconds.
  */
 export function subtractWork(
   whole: HostWork,
@@ -110,7 +111,7 @@
   ageMs: number,
 ): ServerLoad {
   const taken = new Map(
-    listLeft(part, ageMs).map(({urgency, tokens}) => [urgency, tokens]),
+    listRemaining(part, ageMs).map(({urgency, tokens}) => [urgency, tokens]),
   );
   const prefill = whole.prefill
     .map(({urgency, tokens}) => ({
@@ -132,8 +133,11 @@
     .filter(([, rate]) => rate > 0);
 }
 
-/** Lists what a server still has to compute: the most urgent comes first. */
-function listLeft({prefill}: ServerLoad, ageMs: number): RankedTokens[] {
+/**
+ * Lists the tokens that a server still has to compute after a time, by rank. Servers
+ * compute the most urgent prompts first.
+ */
+function listRemaining({prefill}: ServerLoad, ageMs: number): RankedTokens[] {
   let doneTokens = ageMs * PREFILL_TOKENS_PER_MS;
   const left: RankedTokens[] = [];
   for (const {urgency, tokens} of byUrgency(prefill)) {
--- a/src/peering/work_summary.ts
+++ b/src/peering/work_summary.ts
@@ -1,27 +1,27 @@
 import {z} from 'zod';
 import {hostAddressSchema} from './host_address.js';
 
-/** Entries of one list in a message, at most: ten times what is planned for. */
+/** Maximum length of a list in a message: ten times the planned length. */
 export const MAX_LISTED = 20_000;
-/** Ranks that one server's pending prompts are told apart by, at most. */
+/** Maximum number of ranks of the pending prompts of one server. */
 const MAX_RANKS = 32;
 const name = z.string().min(1).max(200);
 const count = z.number().min(0).max(Number.MAX_SAFE_INTEGER);
 
-/** What several hosts have under way together, as hosts tell each other. */
+/** Summary of the work in progress of several hosts, as sent between hosts. */
 export const workSummarySchema = z.object({
-  /** Rises with each summary of one start of its sender. */
+  /** Increases with each summary of one incarnation of the sender. */
   sequence: count,
   /**
-   * 0 where the sender was told by the hosts and by aggregators; 1 where an
-   * aggregator told it all, and it tells it on.
+   * 0 if the sender summed the reports of hosts and the summaries of data centres; 1 if
+   * it forwards a summary of all hosts that an aggregator sent.
    */
   hops: z.number().int().min(0).max(1).default(0),
-  /** Hosts that it stands for. */
+  /** Number of hosts that the summary covers. */
   hosts: z.number().int().min(1).max(MAX_LISTED),
-  /** Number of the list of these hosts. */
+  /** Version of the list of these hosts. */
   membersVersion: count,
-  /** That list; left out while the peer has acknowledged its number. */
+  /** That list; omitted if the peer has acknowledged its version. */
   members: z.array(hostAddressSchema).max(MAX_LISTED).optional(),
   /**
    * Server, requests in flight there, and for each rank its number and the prompt
@@ -32,17 +32,17 @@
       z.tuple([name, count, z.array(z.tuple([count, count])).max(MAX_RANKS)]),
     )
     .max(MAX_LISTED),
-  /** Server, a shared part of a prompt that it was just sent, and its tokens. */
+  /** Server, a shared part of a prompt that was just sent there, and its tokens. */
   parts: z.array(z.tuple([name, name, count])).max(MAX_LISTED),
-  /** Service, and the prompt tokens per second its servers compute for it. */
+  /** Service, and the prompt tokens per second that its servers compute for the hosts. */
   prefill: z.array(z.tuple([name, count])).max(MAX_LISTED),
   /** Customer, and its demand in units per second. */
   demands: z.array(z.tuple([name, count])).max(MAX_LISTED),
-  /** Customer, and the units let through since the sender counts. */
+  /** Customer, and the units admitted since the sender began to count. */
   spending: z.array(z.tuple([name, count])).max(MAX_LISTED),
   /** Whether one of these hosts holds the duties. */
   holdsDuties: z.boolean(),
 });
 
-/** What several hosts have under way together, as hosts tell each other. */
+/** Summary of the work in progress of several hosts, as sent between hosts. */
 export type WorkSummary = z.output<typeof workSummarySchema>;
--- a/test/peering/hosts_fixture.ts
+++ b/test/peering/hosts_fixture.ts
@@ -6,37 +6,38 @@
 import {WordsHost} from './words_fixture.js';
 
 const HEARTBEAT_MS = 400;
-/** Time in which a link that gets no answer is given up, in milliseconds. */
+/** Time after which a link without replies is closed, in milliseconds. */
 const SILENCE_MS = 1200;
 const UPDATE_MS = 500;
 
-/** A link of one host to another, with what came back last. */
+/** A link of one host to another, with the last reply. */
 interface Link {
   acknowledged: unknown;
   /** When the next heartbeat is due. */
   dueMs: number;
-  /** Since when no heartbeat was answered. */
+  /** When the first unanswered heartbeat was sent, monotonic ms; `undefined` if none. */
   silentSinceMs: number | undefined;
 }
 
-/** Hosts that tell each other over links of a test, on a virtual clock. */
+/** Hosts that exchange heartbeats over simulated links, on a virtual clock. */
 export class HostsFixture {
   readonly clock = new VirtualClock();
   readonly hosts: WordsHost[] = [];
-  /** Hosts that have ended, and those that are paused. */
+  /** Names of the hosts whose process has terminated. */
   readonly down = new Set<string>();
+  /** Names of the hosts that are paused. */
   readonly paused = new Set<string>();
-  /** Whether bytes of one host reach another. */
+  /** Returns whether bytes of one host reach another. */
   reaches: (from: HostAddress, to: HostAddress) => boolean = () => true;
-  /** Heartbeats sent, and bytes of them and of their replies. */
+  /** Number of heartbeats sent. */
   heartbeats = 0;
   private readonly links = new Map<string, Map<string, Link>>();
   private readonly random = new SeededRandom(7);
   private starts = 0;
 
   /**
-   * @param count - Hosts, spread evenly.
-   * @param centres - Data centres.
+   * @param count - Number of hosts, spread evenly over the data centres.
+   * @param centres - Number of data centres.
    */
   constructor(
     private readonly count: number,
@@ -47,7 +48,7 @@
     }
   }
 
-  /** Starts a host, anew if it ran before; all know of all by the table. */
+  /** Starts or restarts a host; it knows the addresses of all hosts from the table. */
   start(index: number): WordsHost {
     const self = this.getAddress(index);
     const host = new WordsHost(self, `start-${this.starts++}`, this.clock, {
@@ -63,7 +64,7 @@
     return host;
   }
 
-  /** Ends a host at once. */
+  /** Terminates a host at once. */
   kill(host: WordsHost): void {
     this.down.add(host.self.host);
     this.links.set(host.self.host, new Map());
@@ -72,7 +73,7 @@
     }
   }
 
-  /** Returns the host that sums up a data centre, as its hosts know. */
+  /** Returns the aggregator of a data centre, by the ranking of its first live host. */
   getAggregator(dataCentre: string): WordsHost {
     const here = this.hosts.filter(
       ({self}) => self.dataCentre === dataCentre && this.isUp(self.host),
@@ -80,12 +81,12 @@
     const first = here[0]?.known.rankAggregators(dataCentre)[0]?.host;
     const found = here.find(({self}) => self.host === first);
     if (found === undefined) {
-      throw new Error(`nobody sums up ${dataCentre}`);
+      throw new Error(`no live aggregator in ${dataCentre}`);
     }
     return found;
   }
 
-  /** Lets heartbeats go back and forth. */
+  /** Runs the hosts and their heartbeats for a time, in milliseconds. */
   async run(ms: number): Promise<void> {
     const endMs = this.clock.monotonicMs() + ms;
     while (this.clock.monotonicMs() < endMs) {
@@ -205,7 +206,7 @@
     const peer = this.get(to);
     const sender = this.get(from.host);
     if (!peer || !sender || !this.canTalk(from, peer.self)) {
-      return Result.err(new Error('not reached'));
+      return Result.err(new Error('host not reachable'));
     }
     return Result.ok(await peer.words.handle(body, identify(sender)));
   }
--- a/test/peering/known_hosts_test.ts
+++ b/test/peering/known_hosts_test.ts
@@ -35,13 +35,13 @@
     }
   });
 
-  it('has the hosts with most capacity sum up', () => {
+  it('ranks the hosts with the largest capacity first as aggregators', () => {
     expect(known.rankAggregators('tac')[0]?.host).to.equal('front-4');
     expect(known.rankAggregators('pdx')[0]?.host).to.equal('front-12');
     expect(known.isAggregator()).to.equal(false);
   });
 
-  it('passes a host over that was not reached, for longer each time', async () => {
+  it('skips an unreachable host, for longer each time', async () => {
     known.addUnreachable('10.0.0.4:1');
     expect(known.rankAggregators('tac')[0]?.host).to.not.equal('front-4');
     await clock.advance(2100);
@@ -49,12 +49,12 @@
     known.addUnreachable('10.0.0.4:1');
     await clock.advance(2100);
     expect(known.rankAggregators('tac')[0]?.host).to.not.equal('front-4');
-    known.addHeard(createHost(4, 'tac', 1.35));
+    known.addSelfReport(createHost(4, 'tac', 1.35));
     await clock.advance(250);
     expect(known.rankAggregators('tac')[0]?.host).to.equal('front-4');
   });
 
-  it('links a host with two aggregators, and one with those of other data centres', () => {
+  it('links a host with two aggregators, and an aggregator with those of other data centres', () => {
     const links = chooseRelayLinks(self, known).map(({host}) => host);
     expect(links).to.have.length(2);
     expect(links).to.include('front-4');
@@ -62,15 +62,15 @@
     for (let index = 1; index < 10; index++) {
       known.addUnreachable(`10.0.0.${index}:1`);
     }
-    // Nobody of its data centre is left: it sums up for itself.
+    // No other host of its data centre is reachable: it is the aggregator itself.
     expect(known.isAggregator()).to.equal(true);
     expect(chooseRelayLinks(self, known).map(({host}) => host)).to.deep.equal([
       'front-12',
     ]);
   });
 
-  it('counts a host that is silent as one that may be spending, until it is forgotten', async () => {
-    known.addHeard(createHost(1, 'tac', 0.324));
+  it('counts a host that does not respond as serving, until it is dropped', async () => {
+    known.addSelfReport(createHost(1, 'tac', 0.324));
     await clock.advance(2500);
     expect(known.isAlive('front-1')).to.equal(false);
     expect(known.countHosts()).to.equal(20);
@@ -78,20 +78,23 @@
     expect(known.countHosts()).to.equal(1);
   });
 
-  it('believes a list only under the number that it came with', async () => {
+  it('renews a list of hosts only with the version under which it was received', async () => {
     const members = [createHost(5, 'tac', 0.324)];
     known.addMembers('front-4', 'all', 3, members);
     await clock.advance(1500);
     known.addMembers('front-4', 'all', 4, undefined);
     await clock.advance(1000);
-    // What is told now is another list, which this host does not have.
+    // Version 4 is another list, which this host has not received.
     expect(known.isAlive('front-5')).to.equal(false);
     known.addMembers('front-4', 'all', 3, undefined);
     expect(known.isAlive('front-5')).to.equal(true);
   });
 
-  it('takes a host’s own word of where it is before others’', () => {
-    known.addHeard({...createHost(1, 'tac', 0.324), address: '10.0.9.9:1'});
+  it('prefers the address that a host reports itself', () => {
+    known.addSelfReport({
+      ...createHost(1, 'tac', 0.324),
+      address: '10.0.9.9:1',
+    });
     known.addAddress(createHost(1, 'tac', 0.324));
     const address = known
       .listAddresses()
--- a/test/peering/many_hosts_test.ts
+++ b/test/peering/many_hosts_test.ts
@@ -2,20 +2,20 @@
 import {HostsFixture} from './hosts_fixture.js';
 import {TABLE, WordsHost} from './words_fixture.js';
 
-/** Time in which a fleet comes to know itself from its start, in milliseconds. */
+/** Time in which all hosts learn of each other after the start, in milliseconds. */
 const MEET_MS = 5000;
-/** Time in which one that lost an aggregator knows itself again, in ms. */
+/** The same after the loss of an aggregator, in milliseconds. */
 const RECOVER_MS = 5000;
 
-describe('PeerWords, of many hosts', () => {
-  /** Has a host work on some requests at a server; all know the server. */
+describe('messages between many hosts', () => {
+  /** Starts requests of a host at a server, after adding the server to all hosts. */
   function startWork(fixture: HostsFixture, host: WordsHost, count: number) {
     for (const other of fixture.hosts) {
       if (other.fleet.get('engine') === undefined) {
         other.addServer('engine');
       }
     }
-    for (let flight = 0; flight < count; flight++) {
+    for (let request = 0; request < count; request++) {
       host.fleet.startFlight('engine', [], 0);
     }
   }
@@ -24,7 +24,7 @@
     return fixture.hosts.filter(({self}) => !fixture.down.has(self.host));
   }
 
-  /** Counts the hosts that do not know what all others have running. */
+  /** Counts the hosts that do not know the total of running requests. */
   function countWrong(fixture: HostsFixture, total: number): number {
     const wrong = listUp(fixture).filter(host => {
       const own = host.fleet.listOwnLoads()[0]?.running ?? 0;
@@ -40,7 +40,7 @@
     [350, 25],
   ] as const) {
     describe(`${count} hosts in ${centres} data centres`, () => {
-      it('all hear of all, and count each request once', async () => {
+      it('each host knows all hosts, and counts each request once', async () => {
         const fixture = new HostsFixture(count, centres);
         await fixture.run(MEET_MS);
         expect(
@@ -55,7 +55,7 @@
     });
   }
 
-  it('a host sends as many heartbeats in a large fleet as in a small one', async () => {
+  it('the number of heartbeats per host does not grow with the fleet', async () => {
     const perHost: number[] = [];
     for (const [count, centres] of [
       [48, 6],
@@ -85,7 +85,7 @@
       expect(countWrong(fixture, 60)).to.equal(0);
     });
 
-    it('hears of all again after an aggregator was killed, and of it no more', async () => {
+    it('has a correct total without the aggregator after it was killed', async () => {
       fixture.kill(fixture.getAggregator('dc-1'));
       await fixture.run(RECOVER_MS);
       expect(countWrong(fixture, 59)).to.equal(0);
@@ -94,7 +94,7 @@
       }
     }).timeout(30_000);
 
-    it('counts nothing twice when an aggregator was paused and wakes', async () => {
+    it('counts nothing twice when a paused aggregator resumes', async () => {
       const paused = fixture.getAggregator('dc-0');
       fixture.paused.add(paused.self.host);
       await fixture.run(4000);
@@ -109,7 +109,7 @@
       expect(countWrong(fixture, 60)).to.equal(0);
     }).timeout(30_000);
 
-    it('knows itself again after most of it was killed at once', async () => {
+    it('learns of all hosts again after most were killed at once', async () => {
       for (let index = 0; index < 40; index++) {
         const host = fixture.hosts[index];
         if (host !== undefined) {
@@ -126,7 +126,7 @@
       ).to.have.length(0);
     }).timeout(30_000);
 
-    it('serves on in two halves while a data centre is cut off, and joins again', async () => {
+    it('works in two parts while a data centre is partitioned, and merges again', async () => {
       fixture.reaches = (from, to) =>
         (from.dataCentre === 'dc-2') === (to.dataCentre === 'dc-2');
       await fixture.run(RECOVER_MS);
@@ -134,7 +134,7 @@
         expect(known.countAlive()).to.equal(
           self.dataCentre === 'dc-2' ? 20 : 40,
         );
-        // What is cut off may be spending all the same.
+        // Partitioned hosts may still be admitting requests.
         expect(known.countHosts()).to.equal(60);
       }
       fixture.reaches = () => true;
@@ -142,12 +142,12 @@
       expect(countWrong(fixture, 60)).to.equal(0);
     }).timeout(30_000);
 
-    it('counts a data centre once where two hosts believe that they sum it up', async () => {
+    it('counts a data centre once while two hosts act as its aggregator', async () => {
       const first = fixture.getAggregator('dc-1');
       const second = fixture.hosts.find(
         ({self}) => self.dataCentre === 'dc-1' && self !== first.self,
       );
-      // A host that lost sight of the first believes it is the next.
+      // A host that cannot reach the first aggregator may act as one itself.
       second?.known.addUnreachable(first.self.address);
       for (let step = 0; step < 15; step++) {
         await fixture.run(200);
@@ -157,7 +157,7 @@
       }
     }).timeout(30_000);
 
-    it('goes by the hosts that reach their aggregator while one way is silent', async () => {
+    it('uses the standby while the link from the aggregator fails in one direction', async () => {
       const aggregator = fixture.getAggregator('dc-0');
       const deaf = fixture.hosts.find(
         ({self}) => self.dataCentre === 'dc-0' && self !== aggregator.self,
@@ -165,11 +165,11 @@
       fixture.reaches = (from, to) =>
         from.host !== aggregator.self.host || to.host !== deaf?.self.host;
       await fixture.run(RECOVER_MS);
-      // It hears of the others by the one that would take over.
+      // It gets the summary of the others from the standby aggregator.
       expect(deaf?.countRunning('engine')).to.be.within(57, 59);
     }).timeout(30_000);
 
-    it('passes a row on to every host at once', async () => {
+    it('forwards a row to every host at once', async () => {
       const reader = fixture.getAggregator('dc-0');
       reader.replica.add({key: 'a', version: 7, text: '{}'}, 'store');
       await fixture.run(300);
@@ -179,7 +179,7 @@
       expect(lacking).to.have.length(0);
     }).timeout(30_000);
 
-    it('tells every host how long ago the tables were read', async () => {
+    it('reports to every host how long ago the tables were read', async () => {
       for (let second = 0; second < 4; second++) {
         fixture.getAggregator('dc-0').readAge.addRead(TABLE);
         await fixture.run(1000);
@@ -193,7 +193,7 @@
       }
     }).timeout(30_000);
 
-    it('spends a customer’s rate together, each host’s part counted once', async () => {
+    it('counts the units of a customer that each host admitted once', async () => {
       const account = {
         name: 'guild',
         keys: ['k'],
@@ -215,7 +215,7 @@
     }).timeout(30_000);
   });
 
-  describe('summaries that cannot be', () => {
+  describe('invalid summaries', () => {
     let fixture: HostsFixture;
     const summary = {
       sequence: 1,
@@ -243,18 +243,18 @@
     }
 
     const wrong: Record<string, object> = {
-      'stand for no host': {hosts: 0},
-      'count a part of a host': {hosts: 1.5},
-      'tell negative work': {demands: [['guild', -5]]},
-      'tell work without an end': {
+      'that cover no host': {hosts: 0},
+      'with a fractional number of hosts': {hosts: 1.5},
+      'with negative work': {demands: [['guild', -5]]},
+      'with infinite work': {
         loads: [['e', Number.POSITIVE_INFINITY, []]],
       },
-      'list more than any fleet has': {
+      'with a list longer than the limit': {
         prefill: Array.from({length: 20_001}, (_, index) => [`s${index}`, 1]),
       },
     };
     for (const [name, mistake] of Object.entries(wrong)) {
-      it(`${name} are refused whole, and counted`, () => {
+      it(`${name} are refused as a whole, and counted`, () => {
         const host = fixture.hosts[0];
         host?.words.receiveReply(from, {all: {...summary, ...mistake}}, 0);
         expect(host?.reports.getAgeOfAllMs()).to.equal(Infinity);
@@ -262,7 +262,7 @@
       });
     }
 
-    it('come twice or out of order are taken once', () => {
+    it('that are repeated or out of order are refused', () => {
       const host = fixture.hosts[0];
       const demands = [['guild', 50]];
       host?.words.receiveReply(
--- a/test/peering/peer_words_test.ts
+++ b/test/peering/peer_words_test.ts
@@ -8,7 +8,7 @@
 const peer = {host: 'front-2', dataCentre: 'here', address: '10.0.0.2:1'};
 const from = {host: 'front-2', dataCentre: 'here', incarnation: 'x'};
 
-describe('PeerWords', () => {
+describe('messages between hosts', () => {
   let clock: VirtualClock;
   let known: KnownHosts;
   let ledger: UsageLedger;
@@ -18,7 +18,7 @@
     clock = new VirtualClock();
     const host = new WordsHost(self, 'a', clock, {
       requestPeer: () => {
-        throw new Error('nobody is asked here');
+        throw new Error('unexpected request to a peer');
       },
       listConnected: () => [],
     });
@@ -29,7 +29,7 @@
   function getReport(acknowledged?: unknown) {
     const message = words.createHeartbeat(from, acknowledged);
     if (message.kind !== 'heartbeat') {
-      throw new Error('no heartbeat');
+      throw new Error('expected a heartbeat message');
     }
     return message.report;
   }
@@ -41,7 +41,7 @@
     }
   }
 
-  it('tells a peer all at first, and then what may have changed', async () => {
+  it('reports everything at first, and then only what may have changed', async () => {
     await countInWindows(4);
     const first = getReport();
     expect(first.hosts).to.deep.equal([peer]);
@@ -52,7 +52,7 @@
     expect(later.usage.map(([window]) => window)).to.deep.equal([2, 3]);
   });
 
-  it('tells of hosts until the peer has acknowledged it', () => {
+  it('sends the list of hosts until the peer has acknowledged it', () => {
     const reply = {hostsVersion: getReport().hostsVersion};
     const other = {...peer, host: 'front-3', address: '10.0.0.3:1'};
     known.addAddress(other);
@@ -60,20 +60,20 @@
     expect(getReport(reply).hosts).to.deep.equal([peer, other]);
   });
 
-  it('tells of hosts again after a while, and to a peer that acknowledges none', async () => {
+  it('sends the list of hosts again after 10 s, and to a peer that acknowledges none', async () => {
     const reply = {hostsVersion: getReport().hostsVersion};
     expect(getReport({}).hosts).to.deep.equal([peer]);
     await clock.advance(10_000);
     expect(getReport(reply).hosts).to.deep.equal([peer]);
   });
 
-  it('acknowledges the list of a peer by its number', async () => {
+  it('acknowledges the list of a peer by its version', async () => {
     const report = getReport();
     const reply = await words.handle({kind: 'heartbeat', report}, from);
     expect(reply).to.deep.equal({hostsVersion: report.hostsVersion});
   });
 
-  it('takes heartbeats of the release before', async () => {
+  it('accepts heartbeats of the previous release', async () => {
     const {hostsVersion: _version, parts: _parts, ...report} = getReport();
     const reply = await words.handle({kind: 'heartbeat', report}, from);
     expect(reply).to.deep.equal({hostsVersion: 0});
--- a/test/peering/row_words_property_test.ts
+++ b/test/peering/row_messages_property_test.ts
@@ -1,6 +1,6 @@
 /**
- * Pattern: rows come, change and go while hosts restart, are cut off from each other,
- * and different ones read the table.
+ * Pattern: rows are added, changed and removed while hosts restart, data centres are
+ * partitioned, and the hosts that read the table change.
  */
 import {expect} from 'chai';
 import {SeededRandom} from '../../src/random/index.js';
@@ -13,14 +13,14 @@
 const KEYS = 30;
 const STEP_MS = 200;
 const STEPS = 100;
-/** Time without changes or faults in which all hosts hear of everything, in ms. */
+/** Time without changes or faults in which all hosts get all rows, in milliseconds. */
 const QUIET_MS = 12_000;
-/** Age of a reader from which its reading counts as the whole table, in ms. */
+/** Time after a reader's first reading from which its rows count as complete, in ms. */
 const TRUST_MS = 2300;
 const SOURCE = 'store';
 const READING_CENTRES = ['dc-0', 'dc-1'];
 
-/** The table as it stands, with its history. */
+/** The current table, with its history. */
 class Table {
   version = 1;
   readonly rows = new Map<string, VersionedRow>();
@@ -42,13 +42,13 @@
   }
 }
 
-/** What a reader has read of the table. */
+/** Since when a host reads the table, and up to which version it has. */
 interface Reading {
   readonly sinceMs: number;
   cursor: number;
 }
 
-class Play {
+class Simulation {
   readonly fixture = new HostsFixture(HOSTS, CENTRES);
   readonly table = new Table();
   private readonly random: SeededRandom;
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Starts whoever reads the table anew, and all who heard it from them. */
+  /** Restarts all hosts of the data centres whose aggregators read the table. */
   private restartCentres(): void {
     for (const [index, {self}] of this.fixture.hosts.entries()) {
       if (READING_CENTRES.includes(self.dataCentre)) {
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Has the aggregators of two data centres read, as far as these are agreed on. */
+  /** Has the aggregators of two data centres read the table. */
   private read(): void {
     for (const dataCentre of READING_CENTRES) {
       const reader = this.fixture.getAggregator(dataCentre);
@@ -158,10 +158,10 @@
   }
 }
 
-describe('RowWords, over seeds', () => {
+describe('RowMessages under random faults', () => {
   for (let seed = 1; seed <= 12; seed++) {
-    it(`has every host know the table in the end, seed ${seed}`, async () => {
-      const play = new Play(seed);
+    it(`every host finally has the rows of the table, seed ${seed}`, async () => {
+      const play = new Simulation(seed);
       await play.run();
       const wrong = play.fixture.hosts
         .map(host => ({host: host.self.host, wrong: play.listWrong(host)}))
--- a/test/peering/row_words_test.ts
+++ b/test/peering/row_messages_test.ts
@@ -1,19 +1,19 @@
-/** Pattern: servers are replaced while the hosts that tell of it restart in turn. */
+/** Pattern: servers are replaced while the hosts that report them restart in turn. */
 import {expect} from 'chai';
 import {VersionedRow} from '../../src/replica/index.js';
 import {HostsFixture} from './hosts_fixture.js';
 import {TABLE, WordsHost} from './words_fixture.js';
 
 const HOSTS = 16;
-/** Time in which every host hears what one has read, in milliseconds. */
+/** Time in which every host gets the rows that one has read, in milliseconds. */
 const TOLD_MS = 2500;
 const ONE_DIFFERENCE = /^sedgefall_replicas_different\{table="servers"\} 1$/m;
 
-describe('RowWords', () => {
+describe('RowMessages', () => {
   let fixture: HostsFixture;
-  /** Reads the table for all. */
+  /** Reads the table for all hosts. */
   let reader: WordsHost;
-  /** Hears of it through the reader. */
+  /** Gets the rows only through other hosts. */
   let member: WordsHost;
 
   beforeEach(async () => {
@@ -28,7 +28,7 @@
     await fixture.clock.advance(50);
   }
 
-  it('tells a host again what it missed when more is told before it asks', async () => {
+  it('resends rows that a host missed even if it receives later rows first', async () => {
     const ready = {key: 'a', version: 100, text: 'ready'};
     await read(100, ready);
     await fixture.run(TOLD_MS);
@@ -45,7 +45,7 @@
     expect(member.replica.getText('a')).to.equal('draining');
   });
 
-  it('tells of a removal that came before the start of the host that tells', async () => {
+  it('reports a removal that happened before the reporting host started', async () => {
     const leaving = {key: 'a', version: 100, text: 'ready'};
     const staying = {key: 'b', version: 90, text: 'ready'};
     await read(100, leaving, staying);
@@ -55,7 +55,7 @@
     fixture.reaches = (from, to) =>
       from.dataCentre !== readerCentre && to.dataCentre !== readerCentre;
     await fixture.run(TOLD_MS);
-    // All of its data centre start anew, so that none has heard of the removal.
+    // All hosts of the data centre restart, so that none has received the removal.
     for (const [index, host] of fixture.hosts.entries()) {
       if (host.self.dataCentre === readerCentre) {
         fixture.start(index);
@@ -100,7 +100,7 @@
   });
 });
 
-/** Finds a host that hears of the table through another one only. */
+/** Finds a host that gets the rows of the table only through other hosts. */
 function findMember(fixture: HostsFixture, reader: WordsHost): WordsHost {
   const {dataCentre} = reader.self;
   const ranked = reader.known.rankAggregators(dataCentre);
--- a/test/peering/suspects_test.ts
+++ b/test/peering/suspects_test.ts
@@ -2,14 +2,14 @@
 import {HostsFixture} from './hosts_fixture.js';
 import {WordsHost} from './words_fixture.js';
 
-/** Time in which a fleet comes to know itself from its start, in milliseconds. */
+/** Time in which all hosts learn of each other after the start, in milliseconds. */
 const MEET_MS = 5000;
-/** Time in which all hosts have to know what ends servers, in milliseconds. */
+/** Time in which all hosts have to know a suspect request, in milliseconds. */
 const KNOWN_MS = 3000;
 const CONTENT = 'c1';
 
-describe('word of requests that end servers', () => {
-  /** Has servers end under one request, each seen by another host. */
+describe('messages about requests that terminate servers', () => {
+  /** Records a server termination under one request at each host. */
   function endServers(hosts: readonly WordsHost[]): void {
     for (const [index, {quarantine}] of hosts.entries()) {
       quarantine.addEnd(CONTENT, `s${index}`, index);
@@ -49,26 +49,26 @@
     expect(countUnaware(fixture)).to.equal(0);
   });
 
-  it('reaches a data centre that was cut off, once it is back', async () => {
+  it('reaches a data centre after a partition', async () => {
     const fixture = new HostsFixture(89, 3);
     await fixture.run(MEET_MS);
     const isCut = (dataCentre: string) => dataCentre === 'dc-2';
     fixture.reaches = (from, to) =>
       isCut(from.dataCentre) === isCut(to.dataCentre);
     await fixture.run(MEET_MS);
-    // Two are seen on one side and one on the other.
+    // Two terminations are recorded on one side of the partition and one on the other.
     const inside = fixture.hosts.filter(({self}) => isCut(self.dataCentre));
     const outside = fixture.hosts.filter(({self}) => !isCut(self.dataCentre));
     endServers([...outside.slice(-2), ...inside.slice(-1)]);
     await fixture.run(MEET_MS);
     expect(countUnaware(fixture)).to.equal(89);
     fixture.reaches = () => true;
-    // A link that was given up is tried again after eight seconds at most.
+    // A closed link is tried again after at most eight seconds.
     await fixture.run(8000 + KNOWN_MS);
     expect(countUnaware(fixture)).to.equal(0);
   }).timeout(60_000);
 
-  it('says nothing while there is no suspect', async () => {
+  it('adds nothing to a heartbeat while there is no suspect', async () => {
     const fixture = new HostsFixture(8, 4);
     await fixture.run(MEET_MS);
     const [host, peer] = fixture.hosts as [WordsHost, WordsHost];
--- a/test/peering/table_reading_test.ts
+++ b/test/peering/table_reading_test.ts
@@ -13,7 +13,7 @@
 const NEWS_MS = 4000;
 const TABLES = ['catalog', 'servers'];
 
-/** Makes the hosts of three data centres; the first of each is large. */
+/** Creates hosts in three data centres; the first one of each is large. */
 function createHosts(count: number): HostAddress[] {
   return Array.from({length: count}, (_, index) => ({
     host: `front-${index}`,
@@ -34,7 +34,7 @@
     const hosts = createHosts(count);
     const self = hosts[index];
     if (self === undefined) {
-      throw new Error(`there is no host ${index}`);
+      throw new Error(`no host with index ${index}`);
     }
     const known = new KnownHosts({
       clock,
@@ -58,13 +58,13 @@
     return {known, readAge, reading};
   }
 
-  it('has every one of few hosts read', () => {
+  it('lets every host of a small fleet read', () => {
     for (let index = 0; index < 8; index++) {
       expect(createReading(8, index).reading.rests('servers')).to.equal(false);
     }
   });
 
-  it('has two of many hosts read, of two data centres', () => {
+  it('selects two readers in a large fleet', () => {
     const readers: number[] = [];
     for (let index = 0; index < 60; index++) {
       const {known} = createReading(60, index);
@@ -75,23 +75,23 @@
     expect(readers).to.have.length(2);
   });
 
-  it('has a host read that hears of no reader within its part of the bound', async () => {
+  it('lets a host read that has no report of a reader within its share of the limit', async () => {
     const {readAge, reading} = createReading(60, 30);
     await clock.advance(5000);
     for (const table of TABLES) {
-      readAge.addTold(table, clock.monotonicMs());
+      readAge.addReported(table, clock.monotonicMs());
     }
     expect(reading.rests('servers')).to.equal(true);
     await clock.advance(NEWS_MS * 0.65);
     expect(reading.rests('servers')).to.equal(true);
     await clock.advance(NEWS_MS * 0.1);
-    // Each table is tried once, and then now and then while it does not answer.
+    // Each table is tried once at first, and then at intervals while it does not answer.
     expect(reading.rests('servers')).to.equal(false);
     expect(reading.rests('catalog')).to.equal(false);
     expect(reading.rests('servers')).to.equal(true);
   });
 
-  it('has it go on while it reads itself, and rest once it is told again', async () => {
+  it('lets it continue while its own reads succeed, until it gets a recent report', async () => {
     const {readAge, reading} = createReading(60, 30);
     await clock.advance(5000);
     for (const table of TABLES) {
@@ -99,11 +99,11 @@
     }
     expect(reading.rests('servers')).to.equal(false);
     expect(reading.rests('servers')).to.equal(false);
-    readAge.addTold('servers', clock.monotonicMs() - 500);
+    readAge.addReported('servers', clock.monotonicMs() - 500);
     expect(reading.rests('servers')).to.equal(true);
   });
 
-  it('has a host that starts read within a fifth of a second, and all not at once', async () => {
+  it('lets a starting host read within 200 ms, but not at once', async () => {
     const {reading} = createReading(60, 30);
     expect(reading.rests('servers')).to.equal(true);
     await clock.advance(200);
@@ -116,13 +116,13 @@
     await clock.advance(5000);
     expect(reading.rests('servers')).to.equal(false);
     reading.addResponse('servers');
-    readAge.addTold('servers', clock.monotonicMs());
+    readAge.addReported('servers', clock.monotonicMs());
     expect(reading.rests('servers')).to.equal(true);
     await clock.advance(NEWS_MS * 0.72);
     expect(reading.rests('servers')).to.equal(false);
   });
 
-  it('spreads the tries of hosts that have no word of a store that is away', async () => {
+  it('spreads the attempts of hosts without reports while the store is down', async () => {
     const {reading} = createReading(60, 30);
     await clock.advance(5000);
     let tries = 0;
@@ -156,12 +156,12 @@
     expect(age.getMs('servers')).to.equal(10);
   });
 
-  it('believes the latest of others, and never an older word', async () => {
+  it('keeps the latest time that others report', async () => {
     const clock = new VirtualClock();
     const age = new ReadAge(clock, TABLES);
-    age.addTold('servers', -50);
-    age.addTold('servers', -400);
+    age.addReported('servers', -50);
+    age.addReported('servers', -400);
     await clock.advance(10);
-    expect(age.getToldMs('servers')).to.equal(60);
+    expect(age.getReportedMs('servers')).to.equal(60);
   });
 });
--- a/test/peering/words_fixture.ts
+++ b/test/peering/words_fixture.ts
@@ -21,13 +21,13 @@
 const STALE_MS = 2000;
 const GONE_MS = 30_000;
 
-/** What a host of a test is connected by. */
-export interface WordsLinks {
+/** Simulated connections of a host. */
+export interface PeerHostLinks {
   readonly requestPeer: (host: string, body: unknown) => Promise<unknown>;
   readonly listConnected: () => readonly string[];
 }
 
-/** What one host tells and knows, without its sockets. */
+/** One host with its state and messages, without sockets. */
 export class WordsHost {
   readonly known: KnownHosts;
   readonly reports: HostReports;
@@ -47,7 +47,7 @@
     readonly self: HostAddress,
     readonly incarnation: string,
     readonly clock: Clock,
-    links: WordsLinks,
+    links: PeerHostLinks,
   ) {
     const log = new SilentLog();
     this.known = new KnownHosts({
@@ -118,7 +118,7 @@
     );
   }
 
-  /** Makes a server known. */
+  /** Adds a ready server to the fleet of this host. */
   addServer(id: string): void {
     const server: FleetServer = {
       id,
@@ -134,7 +134,7 @@
     this.fleet.set(server, 'test');
   }
 
-  /** Returns what other hosts have running at a server, as this host knows. */
+  /** Returns the requests of other hosts that run at a server, as this host knows. */
   countRunning(server: string): number {
     return this.reports
       .listLoadsAt(server)
