--- a/src/peering/report_receiver.ts
+++ b/src/peering/report_receiver.ts
@@ -16,7 +16,7 @@
   private readonly sequences = new Map<string, number>();
 
   constructor(private readonly options: PeerWordsOptions) {
-    options.metrics.addCounter(REFUSED, 'Messages of peers that were refused');
+    options.metrics.addCounter(REFUSED, 'Words of peers that were refused');
   }
 
   /** Processes a peer's report. */
