--- a/src/limits/rank_demand.ts
+++ b/src/limits/rank_demand.ts
@@ -1,7 +1,7 @@
 import {DemandMeter} from '../quota/index.js';
 import {Clock} from '../time/index.js';
 
-/** Requests a second of each service at this host, by their rank. */
+/** Measures requests per second at this host by service and urgency rank. */
 export class RankDemand {
   private readonly meter: DemandMeter;
 
@@ -9,12 +9,11 @@
     this.meter = new DemandMeter(clock);
   }
 
-  /** Counts a request. */
   add(service: string, rank: number): void {
     this.meter.add(createKey(service, rank), 1);
   }
 
-  /** Returns the requests a second that are more urgent than a rank. */
+  /** Returns the requests per second of all ranks that are more urgent than a rank. */
   sumMoreUrgent(service: string, rank: number): number {
     let sum = 0;
     for (let other = 0; other < rank; other++) {
--- a/src/limits/server_limits.ts
+++ b/src/limits/server_limits.ts
@@ -4,89 +4,92 @@
 import {DemandMeter} from '../quota/index.js';
 import {hashText} from '../random/index.js';
 import {Clock} from '../time/index.js';
-import {CarriedTime} from './carried_time.js';
-import {MAX_TOLD, ToldLimit} from './limit_news.js';
-import {PERMIT_LIFE_MS} from './permit_schedule.js';
+import {ExtrapolatedTime} from './extrapolated_time.js';
+import {MAX_LIMITS_PER_MESSAGE, ReportedLimit} from './limit_updates.js';
+import {PERMIT_LIFETIME_MS} from './permit_schedule.js';
 import {RankDemand} from './rank_demand.js';
 import {StatedLimit} from './stated_limit.js';
 import {TrackedLimit} from './tracked_limit.js';
 import {Turn} from './turn.js';
 
-/** What the limits work with. */
+/** Dependencies of `ServerLimits`. */
 export interface ServerLimitsOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Returns true time in Unix milliseconds, on which all hosts agree nearly. */
+  /** Returns reference time in Unix milliseconds; it is nearly equal at all hosts. */
   readonly getTrueMs: () => number;
-  /** Returns which of all hosts this one is. */
+  /** Returns the position of this host among all hosts. */
   readonly getTurn: () => Turn;
-  /** Tells whether a start of a server is still remembered. */
+  /** Returns whether an incarnation of a server is still known. */
   readonly isKnownServer: (server: string) => boolean;
 }
 
-/** Limits that have changed, and up to which version. */
+/** Changed limits, and the version up to which they are complete. */
 export interface LimitPage {
   readonly version: number;
-  readonly limits: ToldLimit[];
+  readonly limits: ReportedLimit[];
 }
 
-/** Time from the start in which this host learns of the others, in milliseconds. */
-const LEARN_MS = 1200;
-/** Time for which the limit of a server that is gone is remembered, in milliseconds. */
-const FORGET_MS = 60_000;
-/** Pause between looks for what may be forgotten, in milliseconds. */
-const TRIM_MS = 10_000;
-/** Servers whose limits are remembered. */
-const MAX_TRACKED = 4096;
-/** Servers whose unusable statements are remembered, so that each is logged once. */
-const MAX_FAULTY = 1000;
-/** Longest time after which a caller is told to come back, in milliseconds. */
-const MAX_RETURN_MS = 10_000;
+/** Time after the start in which this host discovers the others, in milliseconds. */
+const DISCOVERY_MS = 1200;
+/**
+ * Time after its last change at which an ended limit, or that of an unknown server, is
+ * removed, in milliseconds.
+ */
+const RETENTION_MS = 60_000;
+/** Interval between checks for limits that can be removed, in milliseconds. */
+const TRIM_INTERVAL_MS = 10_000;
+/** Maximum number of servers whose limits are kept. */
+const MAX_TRACKED_SERVERS = 4096;
+/** Maximum number of servers with unusable limits; each is remembered to log it once. */
+const MAX_FAULTY_SERVERS = 1000;
+/** Maximum time after which a caller is asked to retry, in milliseconds. */
+const MAX_RETRY_AFTER_MS = 10_000;
 const MS_PER_SECOND = 1000;
-const SHARE_DIGITS = 3;
+const RATE_DIGITS = 3;
 
 /**
- * Limits that servers name: how many requests a second each takes from all hosts
- * together. Hosts tell each other what answers state, and share a limit by turns: see
- * `PermitSchedule`.
+ * Limits that servers state: how many requests per second each accepts from all hosts
+ * together. Hosts report to each other what answers state, and share a limit by issuing
+ * permits round-robin: see `PermitSchedule`.
  */
 export class ServerLimits {
-  /** By the server's start; the least recently changed first. */
+  /** By server incarnation; the least recently changed first. */
   private readonly tracked = new Map<string, TrackedLimit>();
   private readonly faulty = new Set<string>();
   private readonly listeners: (() => void)[] = [];
   private readonly refused: DemandMeter;
   private readonly demand: RankDemand;
-  private readonly time: CarriedTime;
-  private readonly startMs: number;
-  private trimmedMs: number;
+  private readonly time: ExtrapolatedTime;
+  private readonly startedMs: number;
+  private lastTrimMs: number;
   private version = 0;
 
   constructor(private readonly options: ServerLimitsOptions) {
     const {clock, metrics} = options;
-    this.startMs = clock.monotonicMs();
-    this.trimmedMs = this.startMs;
-    this.time = new CarriedTime(clock, options.getTrueMs);
+    this.startedMs = clock.monotonicMs();
+    this.lastTrimMs = this.startedMs;
+    this.time = new ExtrapolatedTime(clock, options.getTrueMs);
     this.refused = new DemandMeter(clock);
     this.demand = new RankDemand(clock);
     metrics.addGauge(
       'servers_limited',
-      'Servers that name a limit of requests a second',
-      () => this.countNamed(),
+      'Servers that state a limit of requests per second',
+      () => this.countLimited(),
     );
     metrics.addCounter(
       'limit_refused',
-      'Requests refused since every server of a service limits what it takes',
+      'Requests refused because every server of a service is rate limited',
     );
   }
 
-  /** Has a function called when this host has seen a limit change. */
+  /** Adds a function that is called when an answer to this host changes a limit. */
   addListener(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Tells whether any server may be limited. */
+  /** Returns whether any server may be limited. */
   hasAny(): boolean {
     if (this.tracked.size > 0) {
       this.trim();
@@ -94,39 +97,43 @@
     return this.tracked.size > 0;
   }
 
-  /** Returns a server's limit in requests a second; absent where it names none. */
+  /** Returns a server's limit in requests per second; absent if it states none. */
   getLimit(server: string): number | undefined {
-    return this.tracked.get(server)?.getNamed();
+    return this.tracked.get(server)?.getStated();
   }
 
-  /** Counts the servers, of some, that have named a limit for at least a time. */
+  /**
+   * Counts the servers whose limit has been in effect unchanged for at least a time.
+   * @param servers - Servers to check.
+   * @param ms - Minimum time since the last change, in milliseconds.
+   */
   countLimitedFor(servers: Iterable<string>, ms: number): number {
     let count = 0;
     for (const server of servers) {
       const limit = this.tracked.get(server);
-      const isNamed = limit?.getNamed() !== undefined;
-      count += isNamed && limit.getAgeMs() >= ms ? 1 : 0;
+      const isLimited = limit?.getStated() !== undefined;
+      count += isLimited && limit.getAgeMs() >= ms ? 1 : 0;
     }
     return count;
   }
 
-  /** Counts a request for a service, by its rank; 0 is the most urgent. */
+  /** Counts a request for a service by its urgency rank; 0 is the most urgent. */
   addRequest(service: string, rank: number): void {
     if (this.hasAny()) {
       this.demand.add(service, rank);
     }
   }
 
-  /** Tells whether what a server gets is bounded now. */
+  /** Returns whether the rate of requests to a server is bounded now. */
   isLimited(server: string): boolean {
     return this.tracked.get(server)?.getRate() !== undefined;
   }
 
-  /** Lists the servers, of any service, that there is no permit for now. */
+  /** Lists the servers, of any service, for which no permit is available now. */
   listUsedUp(): string[] {
     const usedUp: string[] = [];
     for (const server of this.tracked.keys()) {
-      if (this.countHeld(server) === 0) {
+      if (this.countAvailable(server) === 0) {
         usedUp.push(server);
       }
     }
@@ -134,49 +141,50 @@
   }
 
   /**
-   * Lists the servers that a request must not be sent to now, where all that it may go to
-   * are limited: those without a permit. Permits are left for more urgent requests, as
-   * many as are expected while these last.
+   * Lists the servers to which a request must not be sent now, if all its candidates are
+   * limited: those without a permit. Permits are reserved for more urgent requests, as
+   * many as are expected within the lifetime of a permit.
    * @param service - The service.
-   * @param servers - Servers that it may go to otherwise.
-   * @param rank - Rank of the request; 0 is the most urgent.
+   * @param servers - The candidates for the request.
+   * @param rank - Urgency rank of the request; 0 is the most urgent.
+   * @returns All candidates if every permit is reserved, else those without a permit.
    */
   listWithheld(
     service: string,
     servers: readonly string[],
     rank: number,
   ): readonly string[] {
-    const held = servers.map(server => this.countHeld(server));
-    const sum = held.reduce((all, count) => all + count, 0);
+    const available = servers.map(server => this.countAvailable(server));
+    const sum = available.reduce((all, count) => all + count, 0);
     const reserved =
-      (this.demand.sumMoreUrgent(service, rank) * PERMIT_LIFE_MS) /
+      (this.demand.sumMoreUrgent(service, rank) * PERMIT_LIFETIME_MS) /
       MS_PER_SECOND;
     if (sum < 1 + reserved) {
       return servers;
     }
-    return servers.filter((_server, index) => held[index] === 0);
+    return servers.filter((_server, index) => available[index] === 0);
   }
 
-  /** Tells whether a server should be sent any request, to hear whether it is limited. */
+  /** Returns whether any request should go to a server, to check if it is still limited. */
   isTrialDue(server: string): boolean {
-    const limit = this.getPlanned(server);
+    const limit = this.getBoundLimit(server);
     return (
       limit !== undefined &&
-      this.hasLearnt() &&
-      limit.schedule.holdsTrial(this.time.getMs())
+      this.hasDiscoveredHosts() &&
+      limit.schedule.holdsProbePermit(this.time.getMs())
     );
   }
 
-  /** Notes that a server is sent a request. */
+  /** Uses a permit for a request that is sent to a server. */
   take(server: string): void {
-    this.getPlanned(server)?.schedule.take(this.time.getMs());
+    this.getBoundLimit(server)?.schedule.take(this.time.getMs());
   }
 
   /**
-   * Counts a request that is refused since all servers it may go to are limited.
+   * Counts a request that is refused because all its candidate servers are limited.
    * @param service - The service.
-   * @param servers - These servers.
-   * @returns Time after which those refused before it have had their turn, in
+   * @param servers - The candidate servers.
+   * @returns Estimated time until the requests refused before it could be served, in
    *   milliseconds.
    */
   addRefused(service: string, servers: readonly string[]): number {
@@ -184,26 +192,27 @@
     this.options.metrics.increment('limit_refused', {service});
     const nowMs = this.time.getMs();
     let perSecond = 0;
-    let waitMs = MAX_RETURN_MS;
+    let waitMs = MAX_RETRY_AFTER_MS;
     for (const server of servers) {
-      const schedule = this.getPlanned(server)?.schedule;
+      const schedule = this.getBoundLimit(server)?.schedule;
       perSecond += schedule?.getOwnRate() ?? 0;
       waitMs = Math.min(waitMs, schedule?.getWaitMs(nowMs) ?? 0);
     }
-    const ahead = this.refused.get(service);
-    const aheadMs = perSecond > 0 ? (ahead / perSecond) * MS_PER_SECOND : 0;
-    return Math.min(MAX_RETURN_MS, waitMs + aheadMs);
+    const refusedBefore = this.refused.get(service);
+    const queuedMs =
+      perSecond > 0 ? (refusedBefore / perSecond) * MS_PER_SECOND : 0;
+    return Math.min(MAX_RETRY_AFTER_MS, waitMs + queuedMs);
   }
 
   /**
-   * Takes in what an answer states.
-   * @param server - Start of the server that answered.
-   * @param stated - What it states.
+   * Applies the limit that an answer states.
+   * @param server - Incarnation of the server that answered.
+   * @param stated - The limit in the answer.
    * @param sentMs - When its request was sent, monotonic milliseconds.
    */
   addAnswer(server: string, stated: StatedLimit, sentMs: number): void {
     if (stated.isErr) {
-      this.noteFault(server, stated.error);
+      this.logUnusable(server, stated.error);
       return;
     }
     const perSecond = stated.value.unwrapOr(undefined);
@@ -222,18 +231,18 @@
     }
   }
 
-  /** Takes in what a peer tells. Of two changes with one number the lower one counts. */
-  addTold(told: readonly ToldLimit[], peer: string): void {
-    for (const news of told) {
-      const known = this.tracked.get(news.server);
-      const limit = known ?? this.createLimit(news.server);
+  /** Merges the limits that a peer reports. Of two with the same revision the lower wins. */
+  mergeReported(reported: readonly ReportedLimit[], peer: string): void {
+    for (const update of reported) {
+      const known = this.tracked.get(update.server);
+      const limit = known ?? this.createLimit(update.server);
       const isLower =
-        (news.perSecond ?? Infinity) < (limit.getNamed() ?? Infinity);
-      const isNews =
-        news.revision > limit.revision ||
-        (news.revision === limit.revision && isLower);
-      if (isNews) {
-        this.change(limit, news, `peer:${peer}`);
+        (update.perSecond ?? Infinity) < (limit.getStated() ?? Infinity);
+      const isNewer =
+        update.revision > limit.revision ||
+        (update.revision === limit.revision && isLower);
+      if (isNewer) {
+        this.change(limit, update, `peer:${peer}`);
       }
     }
   }
@@ -243,29 +252,31 @@
     return this.version;
   }
 
-  /** Tells what has changed since a version, the oldest changes first. */
+  /** Lists the limits that have changed since a version, the oldest changes first. */
   listSince(version: number): LimitPage {
     const page = listChangedSince(this.tracked, {
       since: version,
       latest: this.version,
-      most: MAX_TOLD,
+      most: MAX_LIMITS_PER_MESSAGE,
     });
     const limits = page.changed.map(([server, limit]) => ({
       server,
-      perSecond: limit.getNamed(),
+      perSecond: limit.getStated(),
       revision: limit.revision,
       ageMs: Math.max(0, limit.getAgeMs()),
     }));
     return {version: page.version, limits};
   }
 
-  /** Returns the permits to send a server requests; infinite where it has no limit. */
-  private countHeld(server: string): number {
-    const limit = this.getPlanned(server);
+  /** Returns the available permits for a server; infinite if it is not limited. */
+  private countAvailable(server: string): number {
+    const limit = this.getBoundLimit(server);
     if (limit === undefined) {
       return Infinity;
     }
-    return this.hasLearnt() ? limit.schedule.countHeld(this.time.getMs()) : 0;
+    return this.hasDiscoveredHosts()
+      ? limit.schedule.countAvailable(this.time.getMs())
+      : 0;
   }
 
   private createLimit(server: string): TrackedLimit {
@@ -274,21 +285,21 @@
 
   private change(
     limit: TrackedLimit,
-    {server, perSecond, revision, ageMs}: ToldLimit,
+    {server, perSecond, revision, ageMs}: ReportedLimit,
     source: string,
   ): void {
-    const before = limit.getNamed();
+    const before = limit.getStated();
     limit.set(perSecond, ageMs);
     limit.revision = revision;
     limit.version = ++this.version;
     this.tracked.delete(server);
     this.tracked.set(server, limit);
     const [oldest] = this.tracked.keys();
-    if (this.tracked.size > MAX_TRACKED && oldest !== undefined) {
+    if (this.tracked.size > MAX_TRACKED_SERVERS && oldest !== undefined) {
       this.tracked.delete(oldest);
     }
-    // Permits are issued from now on, whether there is a request or not.
-    this.getPlanned(server);
+    // Start issuing permits now, even without a request.
+    this.getBoundLimit(server);
     if (before === perSecond) {
       return;
     }
@@ -301,12 +312,12 @@
       age_ms: ageMs.toFixed(0),
       source,
       hosts,
-      own_per_second: ((perSecond ?? 0) / hosts).toFixed(SHARE_DIGITS),
+      own_per_second: ((perSecond ?? 0) / hosts).toFixed(RATE_DIGITS),
     });
   }
 
-  /** Returns the limit of a server that is bounded, with its permits as they are now. */
-  private getPlanned(server: string): TrackedLimit | undefined {
+  /** Returns the limit of a server, with its permit plan updated, if it is bounded now. */
+  private getBoundLimit(server: string): TrackedLimit | undefined {
     const limit = this.tracked.get(server);
     const perSecond = limit?.getRate();
     if (limit === undefined || perSecond === undefined) {
@@ -318,40 +329,40 @@
     return limit;
   }
 
-  /** Tells whether this host has been there for long enough to know its turn. */
-  private hasLearnt(): boolean {
-    return this.options.clock.monotonicMs() - this.startMs >= LEARN_MS;
+  /** Returns whether this host has run long enough to know its position among the hosts. */
+  private hasDiscoveredHosts(): boolean {
+    return this.options.clock.monotonicMs() - this.startedMs >= DISCOVERY_MS;
   }
 
-  private countNamed(): number {
+  private countLimited(): number {
     let count = 0;
     for (const limit of this.tracked.values()) {
-      count += limit.getNamed() === undefined ? 0 : 1;
+      count += limit.getStated() === undefined ? 0 : 1;
     }
     return count;
   }
 
-  /** Forgets limits that have long ended, and those of servers that are gone. */
+  /** Removes limits that have ended and limits of servers that are no longer known. */
   private trim(): void {
     const nowMs = this.options.clock.monotonicMs();
-    if (nowMs - this.trimmedMs < TRIM_MS) {
+    if (nowMs - this.lastTrimMs < TRIM_INTERVAL_MS) {
       return;
     }
-    this.trimmedMs = nowMs;
+    this.lastTrimMs = nowMs;
     for (const [server, limit] of this.tracked) {
       const isOver =
-        limit.getNamed() === undefined || !this.options.isKnownServer(server);
-      if (isOver && limit.getAgeMs() > FORGET_MS) {
+        limit.getStated() === undefined || !this.options.isKnownServer(server);
+      if (isOver && limit.getAgeMs() > RETENTION_MS) {
         this.tracked.delete(server);
       }
     }
   }
 
-  private noteFault(server: string, fault: string): void {
-    if (this.faulty.has(server) || this.faulty.size >= MAX_FAULTY) {
+  private logUnusable(server: string, detail: string): void {
+    if (this.faulty.has(server) || this.faulty.size >= MAX_FAULTY_SERVERS) {
       return;
     }
     this.faulty.add(server);
-    this.options.log.warn('server_limit_unusable', {server, detail: fault});
+    this.options.log.warn('server_limit_unusable', {server, detail: detail});
   }
 }
--- a/src/limits/stated_limit.ts
+++ b/src/limits/stated_limit.ts
@@ -1,7 +1,8 @@
 import {Maybe, Result} from 'true-myth';
 
 /**
- * What an answer states of its server's limit: requests a second that the server takes
- * from all hosts together, nothing where it states none, or why it cannot be used.
+ * The limit that an answer states for its server: the requests per second that the
+ * server accepts from all hosts together, nothing if it states none, or the reason why
+ * the statement cannot be used.
  */
 export type StatedLimit = Result<Maybe<number>, string>;
--- a/src/limits/tracked_limit.ts
+++ b/src/limits/tracked_limit.ts
@@ -2,44 +2,44 @@
 import {PermitSchedule} from './permit_schedule.js';
 
 /**
- * Least rate at which a server is sent requests, per second: one that gets none cannot
- * say that its limit has ended.
+ * Minimum rate of requests sent to a server, per second: a server that receives none
+ * cannot state that its limit has ended.
  */
-const MIN_RATE = 0.5;
-/** Rate from which on a limit binds nothing, per second: no server serves as many. */
-const UNBOUND_RATE = 10_000;
+const MIN_RATE_PER_S = 0.5;
+/** Rate per second from which a limit has no effect, since no server serves as many. */
+const UNLIMITED_RATE_PER_S = 10_000;
 /**
- * Time in which the rate doubles once a limit has ended, in milliseconds, so that hosts
- * do not all come back at once.
+ * Time in which the rate doubles after a limit has ended, in milliseconds, so that the
+ * hosts do not all return to the server at once.
  */
 const DOUBLING_MS = 100;
-/** Doublings after which the server counts as any other. */
-const DOUBLINGS = 8;
+/** Number of doublings after which the server counts as unlimited. */
+const MAX_DOUBLINGS = 8;
 /**
- * Shares of a limit by which it may fall and rise without a word to peers: one that is
- * named a little otherwise in each answer would else be told after each.
+ * Fractions by which a limit may fall and rise without being reported to peers.
+ * Otherwise a limit that varies slightly with each answer would be reported each time.
  */
 const FALL_TOLERANCE = 0.1;
 const RISE_TOLERANCE = 0.25;
 
-/** What is known of the limit of one server. */
+/** State of one server's limit. */
 export class TrackedLimit {
   readonly schedule = new PermitSchedule();
-  /** Requests a second; absent where the server names no limit any more. */
+  /** Requests per second; absent if the server no longer states a limit. */
   private perSecond: number | undefined;
-  /** The last figure that the server named. */
-  private lastNamed = 0;
+  /** The last limit that the server stated, in requests per second. */
+  private lastStated = 0;
   private changedMs: number;
 
   /** Number of the last change at this host. */
   version = 0;
-  /** Number of the change over all hosts; the higher one is the later. */
+  /** Number of the change across all hosts; the higher one is the newer. */
   revision = 0;
 
   /**
    * @param clock - Measures ages.
-   * @param offset - Moves the turns of hosts, so that they do not come to all servers
-   *   at one moment.
+   * @param offset - Shifts the positions of hosts for this server, so that a host's
+   *   permits for different servers are not all issued at the same time.
    */
   constructor(
     private readonly clock: Clock,
@@ -48,8 +48,8 @@
     this.changedMs = clock.monotonicMs();
   }
 
-  /** Returns the limit as the server named it; absent where it names none. */
-  getNamed(): number | undefined {
+  /** Returns the limit as the server stated it; absent if it states none. */
+  getStated(): number | undefined {
     return this.perSecond;
   }
 
@@ -60,19 +60,19 @@
 
   /**
    * Changes the limit.
-   * @param perSecond - Requests a second; absent for none.
+   * @param perSecond - Requests per second; absent for no limit.
    * @param ageMs - Time since the server's answer, in milliseconds.
    */
   set(perSecond: number | undefined, ageMs: number): void {
     this.changedMs = this.clock.monotonicMs() - ageMs;
     this.perSecond = perSecond;
-    this.lastNamed = perSecond ?? this.lastNamed;
+    this.lastStated = perSecond ?? this.lastStated;
   }
 
   /**
-   * Tells whether an answer changes the limit. A lower one counts at once; a higher one,
-   * or none, only from an answer to a request that was sent under the present one.
-   * @param stated - What the answer states.
+   * Returns whether an answer changes the limit. A lower limit applies immediately. A
+   * higher one, or none, applies only if the request was sent after the last change.
+   * @param stated - The limit in the answer; absent if it states none.
    * @param sentMs - When its request was sent, monotonic milliseconds.
    */
   isChangedBy(stated: number | undefined, sentMs: number): boolean {
@@ -92,13 +92,13 @@
       : isSentSince && stated > before * (1 + RISE_TOLERANCE);
   }
 
-  /** Returns the requests a second that all hosts may send; absent without a bound. */
+  /** Returns the requests per second that all hosts may send; absent if unbounded. */
   getRate(): number | undefined {
     const rate =
-      Math.max(MIN_RATE, this.lastNamed) * 2 ** this.countDoublings();
+      Math.max(MIN_RATE_PER_S, this.lastStated) * 2 ** this.countDoublings();
     const isOver =
-      this.perSecond === undefined && this.countDoublings() > DOUBLINGS;
-    return isOver || rate >= UNBOUND_RATE ? undefined : rate;
+      this.perSecond === undefined && this.countDoublings() > MAX_DOUBLINGS;
+    return isOver || rate >= UNLIMITED_RATE_PER_S ? undefined : rate;
   }
 
   private countDoublings(): number {
--- a/src/limits/turn.ts
+++ b/src/limits/turn.ts
@@ -1,7 +1,10 @@
-/** Which of all entry hosts this one is, as all that know the same hosts agree. */
+/**
+ * Position of this host among all entry hosts; all hosts that know the same set of hosts
+ * derive the same order.
+ */
 export interface Turn {
-  /** Hosts that may be serving, this one included. */
+  /** Number of hosts that may be serving, including this one. */
   readonly hosts: number;
-  /** Place of this host among them, from 0. */
+  /** Zero-based position of this host among them. */
   readonly place: number;
 }
--- a/test/limits/limited_server.ts
+++ b/test/limits/limited_server.ts
@@ -5,24 +5,24 @@
 
 export const SERVER = 'i-1';
 export const SERVICE = 'desk';
-/** Span in which arrivals are counted, in milliseconds. */
+/** Length of the sliding window in which arrivals are counted, in milliseconds. */
 export const WINDOW_MS = 4000;
 const STEP_MS = 100;
 
-/** Returns the requests in a span that a limit allows. */
+/** Returns the maximum number of requests per window that a test accepts for a limit. */
 export function getAllowed(perSecond: number): number {
   return 1.5 * perSecond * (WINDOW_MS / 1000) + 5;
 }
 
-/** One server that names a limit, before hosts that have more requests than it takes. */
+/** A server that states a limit, with hosts that have more requests than it accepts. */
 export class LimitedServer {
-  /** What its answers name now, in requests a second. */
+  /** Limit that its answers state now, in requests per second. */
   limit: number | undefined;
-  /** Requests a second at each host. */
-  perHost = 20;
-  /** When each request reached it, in milliseconds. */
+  /** Requests per second at each host. */
+  requestsPerHost = 20;
+  /** Arrival time of each request, in milliseconds. */
   readonly arrivalsMs: number[] = [];
-  /** The same of those from hosts that knew of a limit. */
+  /** Arrival times of the requests from hosts that knew a limit, in milliseconds. */
   readonly awareMs: number[] = [];
   private readonly random: Random;
 
@@ -33,7 +33,7 @@
     this.random = new SeededRandom(seed);
   }
 
-  /** Lets hosts send requests and tell each other for a while. */
+  /** Lets hosts send requests and exchange messages for a time. */
   async run(ms: number): Promise<void> {
     const endMs = this.getNowMs() + ms;
     while (this.getNowMs() < endMs) {
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Returns the most arrivals in some span that begins after a moment.
-   * @param fromMs - The moment.
-   * @param arrivalsMs - Which arrivals; all where left out.
+   * Returns the maximum number of arrivals in any window after a time.
+   * @param fromMs - The time; earlier arrivals are ignored.
+   * @param arrivalsMs - Arrival times to check; all by default.
    */
   countMost(fromMs: number, arrivalsMs = this.arrivalsMs): number {
     const arrivals = arrivalsMs.filter(ms => ms >= fromMs);
@@ -62,7 +62,7 @@
     return most;
   }
 
-  /** Counts the arrivals from a moment up to another. */
+  /** Counts the arrivals from one time up to another. */
   countBetween(fromMs: number, toMs: number): number {
     return this.arrivalsMs.filter(ms => ms >= fromMs && ms < toMs).length;
   }
@@ -76,7 +76,7 @@
     if (this.fixture.down.has(name) || this.fixture.paused.has(name)) {
       return;
     }
-    const mean = (this.perHost * STEP_MS) / 1000;
+    const mean = (this.requestsPerHost * STEP_MS) / 1000;
     const wanted = Math.floor(mean + this.random.next());
     for (let sent = 0; sent < wanted; sent++) {
       this.send(host);
--- a/test/limits/permit_schedule_test.ts
+++ b/test/limits/permit_schedule_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import fc from 'fast-check';
-import {PERMIT_LIFE_MS, PermitSchedule} from '../../src/limits/index.js';
+import {PERMIT_LIFETIME_MS, PermitSchedule} from '../../src/limits/index.js';
 
 const START_MS = 1_770_000_000_000;
 
@@ -12,11 +12,11 @@
   });
 }
 
-/** Uses every permit that there is; returns how many. */
+/** Uses all available permits; returns how many. */
 function takeAll(schedules: readonly PermitSchedule[], nowMs: number): number {
   let taken = 0;
   for (const schedule of schedules) {
-    for (; schedule.countHeld(nowMs) > 0; taken++) {
+    for (; schedule.countAvailable(nowMs) > 0; taken++) {
       schedule.take(nowMs);
     }
   }
@@ -24,16 +24,16 @@
 }
 
 describe('PermitSchedule', () => {
-  it('issues no permit to begin with', () => {
+  it('issues no permit at the start', () => {
     expect(takeAll(createSchedules(350, 2.6), START_MS)).to.equal(0);
   });
 
-  it('issues each permit to one host', () => {
+  it('issues each permit to exactly one host', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 400}),
         fc.double({min: 0.5, max: 500, noNaN: true}),
-        fc.array(fc.integer({min: 1, max: PERMIT_LIFE_MS - 1}), {
+        fc.array(fc.integer({min: 1, max: PERMIT_LIFETIME_MS - 1}), {
           minLength: 1,
           maxLength: 40,
         }),
@@ -53,46 +53,46 @@
     );
   });
 
-  it('lets a permit that is not used in time go', () => {
+  it('expires a permit that is not used in time', () => {
     const schedules = createSchedules(8, 10);
     const taken = takeAll(schedules, START_MS + 60_000);
-    expect(taken).to.be.at.most((10 * PERMIT_LIFE_MS) / 1000 + 1);
+    expect(taken).to.be.at.most((10 * PERMIT_LIFETIME_MS) / 1000 + 1);
   });
 
-  it('voids what was issued before hosts came or went', () => {
+  it('voids the permits issued before the set of hosts changed', () => {
     const [schedule] = createSchedules(1, 10) as [PermitSchedule];
     const nowMs = START_MS + 1000;
-    expect(schedule.countHeld(nowMs)).to.equal(10);
+    expect(schedule.countAvailable(nowMs)).to.equal(10);
     schedule.setPlan({perSecond: 10, hosts: 2, place: 0}, nowMs);
-    expect(schedule.countHeld(nowMs)).to.equal(0);
-    expect(schedule.countHeld(nowMs + 1000)).to.equal(5);
+    expect(schedule.countAvailable(nowMs)).to.equal(0);
+    expect(schedule.countAvailable(nowMs + 1000)).to.equal(5);
   });
 
-  it('marks one permit of all hosts a second as a trial', () => {
+  it('marks one permit per second over all hosts as a probe', () => {
     const schedules = createSchedules(8, 20);
-    let trials = 0;
+    let probes = 0;
     for (let ms = 0; ms < 10_000; ms += 10) {
       for (const schedule of schedules) {
         const nowMs = START_MS + ms;
-        trials += schedule.holdsTrial(nowMs) ? 1 : 0;
+        probes += schedule.holdsProbePermit(nowMs) ? 1 : 0;
         schedule.take(nowMs);
       }
     }
-    expect(trials).to.be.within(9, 11);
+    expect(probes).to.be.within(9, 11);
   });
 
-  it('tells when the next one is issued', () => {
+  it('returns when the next permit is issued', () => {
     const [schedule] = createSchedules(8, 4) as [PermitSchedule];
     const waitMs = schedule.getWaitMs(START_MS);
     expect(waitMs).to.be.within(1, 2000);
-    expect(schedule.countHeld(START_MS + waitMs - 1)).to.equal(0);
-    expect(schedule.countHeld(START_MS + waitMs + 1)).to.equal(1);
+    expect(schedule.countAvailable(START_MS + waitMs - 1)).to.equal(0);
+    expect(schedule.countAvailable(START_MS + waitMs + 1)).to.equal(1);
   });
 
-  it('goes on when true time is stepped back', () => {
+  it('continues when reference time is stepped back', () => {
     const [schedule] = createSchedules(1, 10) as [PermitSchedule];
     const earlierMs = START_MS - 3_600_000;
-    expect(schedule.countHeld(earlierMs)).to.equal(0);
-    expect(schedule.countHeld(earlierMs + 1000)).to.be.within(9, 11);
+    expect(schedule.countAvailable(earlierMs)).to.equal(0);
+    expect(schedule.countAvailable(earlierMs + 1000)).to.be.within(9, 11);
   });
 });
--- a/test/limits/server_limits_test.ts
+++ b/test/limits/server_limits_test.ts
@@ -1,16 +1,16 @@
 import {expect} from 'chai';
 import {Maybe, Result} from 'true-myth';
-import {ServerLimits, ToldLimit} from '../../src/limits/index.js';
+import {ServerLimits, ReportedLimit} from '../../src/limits/index.js';
 import {Log, LogMembers} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
 import {VirtualClock} from '../../src/time/index.js';
 
 const SERVICE = 'desk';
-/** Time from the start in which a host learns of the others, in milliseconds. */
-const LEARN_MS = 1500;
+/** Time after the start in which a host discovers the others, in milliseconds. */
+const DISCOVERY_MS = 1500;
 
-/** Keeps what is logged. */
-class KeptLog implements Log {
+/** Records the logged lines. */
+class RecordingLog implements Log {
   readonly lines: (readonly [event: string, members: LogMembers])[] = [];
 
   info(event: string, members: LogMembers = {}): void {
@@ -32,18 +32,18 @@
 
 describe('ServerLimits', () => {
   let clock: VirtualClock;
-  let log: KeptLog;
+  let log: RecordingLog;
   let metrics: Metrics;
   let limits: ServerLimits;
   let known: boolean;
 
   beforeEach(async () => {
     clock = new VirtualClock(1_770_000_000_000);
-    log = new KeptLog();
+    log = new RecordingLog();
     metrics = new Metrics();
     known = true;
     limits = create();
-    await clock.advance(LEARN_MS);
+    await clock.advance(DISCOVERY_MS);
   });
 
   function create(): ServerLimits {
@@ -65,27 +65,27 @@
     limits.addAnswer(server, Result.ok(Maybe.of(perSecond)), sentMs);
   }
 
-  function tell(overrides: Partial<ToldLimit>): void {
+  function reportFromPeer(overrides: Partial<ReportedLimit>): void {
     const told = {server: 's1', perSecond: 2, revision: 1, ageMs: 0};
-    limits.addTold([{...told, ...overrides}], 'front-2');
+    limits.mergeReported([{...told, ...overrides}], 'front-2');
   }
 
-  function isWithheld(server: string, rank = 0): boolean {
+  function isExcluded(server: string, rank = 0): boolean {
     return limits.listWithheld(SERVICE, [server], rank).length > 0;
   }
 
   describe('an answer', () => {
-    it('that names no limit is nothing to remember', () => {
+    it('without a limit creates no entry', () => {
       state('s1', undefined);
       expect(limits.hasAny()).to.equal(false);
       expect(limits.getVersion()).to.equal(0);
-      expect(isWithheld('s1')).to.equal(false);
+      expect(isExcluded('s1')).to.equal(false);
     });
 
-    it('that names one binds, with a line that tells all of it', () => {
+    it('with a limit applies it, and logs it with all fields', () => {
       state('s1', 2.6);
-      expect(isWithheld('s1')).to.equal(true);
-      expect(isWithheld('s2')).to.equal(false);
+      expect(isExcluded('s1')).to.equal(true);
+      expect(isExcluded('s2')).to.equal(false);
       expect(log.lines).to.deep.equal([
         [
           'server_limit',
@@ -104,14 +104,14 @@
       expect(metrics.format()).to.contain('sedgefall_servers_limited 1');
     });
 
-    it('that changes it little is no news', () => {
+    it('that changes the limit slightly creates no new version', () => {
       state('s1', 10);
       state('s1', 12);
       state('s1', 9.5);
       expect(limits.getVersion()).to.equal(1);
     });
 
-    it('that names it a little otherwise each time settles at the low end', () => {
+    it('that varies slightly each time settles at the low end', () => {
       for (let step = 0; step < 200; step++) {
         state('s1', 10 + Math.sin(step));
       }
@@ -119,7 +119,7 @@
       expect(limits.getLimit('s1')).to.be.within(9, 10);
     });
 
-    it('that lowers it counts at once, and one that raises it only if sent since', async () => {
+    it('applies a lower limit at once, a higher one only if sent since', async () => {
       await clock.advance(1000);
       state('s1', 10);
       const earlierMs = clock.monotonicMs() - 500;
@@ -132,7 +132,7 @@
       expect(limits.getLimit('s1')).to.equal(20);
     });
 
-    it('without one ends it only if sent since', async () => {
+    it('without a limit ends it only if sent since', async () => {
       await clock.advance(1000);
       state('s1', 10);
       state('s1', undefined, clock.monotonicMs() - 500);
@@ -141,7 +141,7 @@
       expect(limits.getLimit('s1')).to.equal(undefined);
     });
 
-    it('that cannot be read changes nothing, and is logged once for a server', () => {
+    it('that cannot be parsed changes nothing, and is logged once per server', () => {
       state('s1', 10);
       for (const server of ['s1', 's1', 's2']) {
         limits.addAnswer(server, Result.err('"x" is no number'), 0);
@@ -154,48 +154,48 @@
       ]);
     });
 
-    it('that names more than any server takes binds nothing', () => {
+    it('with a limit above what any server serves has no effect', () => {
       state('s1', 1e9);
-      expect(isWithheld('s1')).to.equal(false);
+      expect(isExcluded('s1')).to.equal(false);
     });
   });
 
-  describe('word of peers', () => {
-    it('counts by its revision, and the lower one of the same', () => {
-      tell({revision: 3, perSecond: 5});
-      tell({revision: 2, perSecond: 1});
+  describe('a report from a peer', () => {
+    it('wins by a higher revision, or by a lower limit of the same revision', () => {
+      reportFromPeer({revision: 3, perSecond: 5});
+      reportFromPeer({revision: 2, perSecond: 1});
       expect(limits.getLimit('s1')).to.equal(5);
-      tell({revision: 3, perSecond: 4});
+      reportFromPeer({revision: 3, perSecond: 4});
       expect(limits.getLimit('s1')).to.equal(4);
       const told = limits.listSince(0).limits;
-      limits.addTold([{...told[0]!, perSecond: undefined}], 'front-3');
+      limits.mergeReported([{...told[0]!, perSecond: undefined}], 'front-3');
       expect(limits.getLimit('s1')).to.equal(4);
     });
 
-    it('of an end outlives that of the limit before', async () => {
-      tell({revision: 1});
-      tell({revision: 2, perSecond: undefined});
-      tell({revision: 1});
+    it('of the end of a limit outlasts that of the limit before', async () => {
+      reportFromPeer({revision: 1});
+      reportFromPeer({revision: 2, perSecond: undefined});
+      reportFromPeer({revision: 1});
       await clock.advance(2000);
-      expect(isWithheld('s1')).to.equal(false);
+      expect(isExcluded('s1')).to.equal(false);
     });
 
-    it('names who told, and how old it is', () => {
-      tell({ageMs: 300});
+    it('is logged with its sender and its age', () => {
+      reportFromPeer({ageMs: 300});
       const [, members] = log.lines[0] ?? [];
       expect(members?.source).to.equal('peer:front-2');
       expect(members?.age_ms).to.equal('300');
     });
 
-    it('is told on page by page', () => {
+    it('is passed on page by page', () => {
       for (let index = 0; index < 450; index++) {
-        tell({server: `s${index}`});
+        reportFromPeer({server: `s${index}`});
       }
       const second = create();
       for (let heard = 0; heard < limits.getVersion();) {
         const page = limits.listSince(heard);
         expect(page.limits.length).to.be.at.most(200);
-        second.addTold(page.limits, 'front-1');
+        second.mergeReported(page.limits, 'front-1');
         heard = page.version;
       }
       expect(second.listSince(0).limits).to.have.length(200);
@@ -204,7 +204,7 @@
   });
 
   describe('permits', () => {
-    it('are none before a host has learnt of the others', async () => {
+    it('are not available before a host has discovered the others', async () => {
       const started = create();
       started.addAnswer('s1', Result.ok(Maybe.just(50)), 0);
       await clock.advance(1000);
@@ -214,15 +214,15 @@
       expect(started.listWithheld(SERVICE, ['s1'], 0)).to.deep.equal([]);
     });
 
-    it('are left for more urgent requests, and used where these are few', async () => {
+    it('are reserved for more urgent requests, and used if these are few', async () => {
       state('s1', 10);
       const served = [0, 0];
       for (let step = 0; step < 1000; step++) {
         await clock.advance(10);
-        // The urgent ask for half of the limit, the others for five times the limit.
+        // Urgent requests come at half of the limit, the others at ten times the limit.
         for (const rank of [1, ...(step % 20 === 0 ? [0] : [])]) {
           limits.addRequest(SERVICE, rank);
-          if (!isWithheld('s1', rank)) {
+          if (!isExcluded('s1', rank)) {
             limits.take('s1');
             served[rank] = (served[rank] ?? 0) + 1;
           }
@@ -233,14 +233,14 @@
       expect(other).to.be.within(30, 52);
     });
 
-    it('go to the most urgent alone where these take all', async () => {
+    it('go only to the most urgent requests if these use all', async () => {
       state('s1', 10);
       let others = 0;
       for (let step = 0; step < 1000; step++) {
         await clock.advance(10);
         for (const rank of [0, 1]) {
           limits.addRequest(SERVICE, rank);
-          if (!isWithheld('s1', rank)) {
+          if (!isExcluded('s1', rank)) {
             limits.take('s1');
             others += rank;
           }
@@ -251,7 +251,7 @@
   });
 
   describe('a refusal', () => {
-    it('tells a later time the more were refused before', () => {
+    it('returns a later time the more requests were refused before', () => {
       state('s1', 2);
       const first = limits.addRefused(SERVICE, ['s1']);
       let last = first;
@@ -268,8 +268,8 @@
     });
   });
 
-  describe('what is remembered', () => {
-    it('lasts while the server names it, and not for long after', async () => {
+  describe('a tracked limit', () => {
+    it('is kept while the server states it, and for a short time after', async () => {
       state('s1', 2);
       await clock.advance(600_000);
       expect(limits.hasAny()).to.equal(true);
@@ -278,14 +278,14 @@
       expect(limits.hasAny()).to.equal(false);
     });
 
-    it('ends with a server that is gone', async () => {
+    it('is removed when its server is no longer known', async () => {
       state('s1', 2);
       known = false;
       await clock.advance(100_000);
       expect(limits.hasAny()).to.equal(false);
     });
 
-    it('counts the servers that have been limited for long', async () => {
+    it('is counted once it has been in effect for a time', async () => {
       state('s1', 2);
       await clock.advance(3000);
       state('s2', 2);
