--- a/src/quarantine/ended_servers.ts
+++ b/src/quarantine/ended_servers.ts
@@ -1,85 +1,85 @@
 import {Clock} from '../time/index.js';
 
-/** Looks whether nothing listens at an address: the server's process has ended. */
+/** Checks whether nothing listens at an address: the server process has terminated. */
 export type LookForEnd = (address: string) => Promise<boolean>;
 
 /**
- * Time for which an end that was found counts for others, in milliseconds: all that
- * the server had under way is lost at once, and it takes longer to start again.
+ * Time for which a detected termination is reused for other requests, in milliseconds:
+ * a server loses all its requests at once, and takes longer than this to restart.
  */
-const SHARED_MS = 200;
+const RESULT_REUSE_MS = 200;
 
-/** Time within which servers that end do so together, in milliseconds. */
-export const WAVE_MS = 500;
+/** Time within which terminations of servers count as simultaneous, in milliseconds. */
+export const CORRELATION_WINDOW_MS = 500;
 
 /**
- * Tells a server that has ended from one that broke a channel off. All requests that
- * a server loses at one moment share one look; that a server was there a moment ago
- * tells nothing of now.
+ * Distinguishes a terminated server from one that closed a connection. All requests that
+ * a server loses at the same time share one check. A result that the server is running
+ * is not reused, since it may have terminated since.
  */
 export class EndedServers {
-  /** Looks under way, by address. */
-  private readonly looks = new Map<string, Promise<boolean>>();
-  /** When a server was last found to have ended, monotonic milliseconds. */
-  private readonly endedMs = new Map<string, number>();
-  /** When each server was found to have ended, of late; monotonic milliseconds. */
-  private readonly lateEndsMs = new Map<string, number>();
+  /** Checks in progress, by address. */
+  private readonly pendingChecks = new Map<string, Promise<boolean>>();
+  /** When a termination was detected, by address, monotonic milliseconds; see `RESULT_REUSE_MS`. */
+  private readonly terminatedMs = new Map<string, number>();
+  /** The same within `CORRELATION_WINDOW_MS`. */
+  private readonly recentTerminationsMs = new Map<string, number>();
 
   /**
-   * @param clock - Measures the age of what was found.
-   * @param lookForEnd - Looks at an address.
+   * @param clock - Measures the age of results.
+   * @param checkTermination - Checks an address.
    */
   constructor(
     private readonly clock: Clock,
-    private readonly lookForEnd: LookForEnd,
+    private readonly checkTermination: LookForEnd,
   ) {}
 
-  /** Tells whether the server at an address, where a channel broke, has ended. */
-  async hasEnded(address: string): Promise<boolean> {
+  /** Returns whether the server at an address, which lost a connection, has terminated. */
+  async hasTerminated(address: string): Promise<boolean> {
     this.trim();
-    if (this.endedMs.has(address)) {
+    if (this.terminatedMs.has(address)) {
       return true;
     }
-    const under = this.looks.get(address);
-    if (under !== undefined) {
-      return under;
+    const pending = this.pendingChecks.get(address);
+    if (pending !== undefined) {
+      return pending;
     }
-    const look = this.lookForEnd(address);
-    this.looks.set(address, look);
-    const ended = await look;
-    this.looks.delete(address);
-    if (ended) {
-      this.endedMs.set(address, this.clock.monotonicMs());
-      this.lateEndsMs.set(address, this.clock.monotonicMs());
+    const check = this.checkTermination(address);
+    this.pendingChecks.set(address, check);
+    const hasTerminated = await check;
+    this.pendingChecks.delete(address);
+    if (hasTerminated) {
+      this.terminatedMs.set(address, this.clock.monotonicMs());
+      this.recentTerminationsMs.set(address, this.clock.monotonicMs());
     }
-    return ended;
+    return hasTerminated;
   }
 
   /**
-   * Tells whether servers end together most of which did not run what ran on some: then
-   * they end of another cause.
-   * @param own - Servers among them that did run it.
+   * Returns whether a request is not the cause of simultaneous terminations, since most
+   * of the terminated servers did not run it.
+   * @param own - Number of the terminated servers that ran the request.
    */
-  endsForAnotherCause(own: number): boolean {
-    return this.countInWave() - own > own;
+  hasAnotherCause(own: number): boolean {
+    return this.countRecentTerminations() - own > own;
   }
 
-  /** Counts the servers that were found to have ended within `WAVE_MS`. */
-  private countInWave(): number {
-    const oldestMs = this.clock.monotonicMs() - WAVE_MS;
-    for (const [address, endedMs] of this.lateEndsMs) {
-      if (endedMs <= oldestMs) {
-        this.lateEndsMs.delete(address);
+  /** Counts the servers whose termination was detected within `CORRELATION_WINDOW_MS`. */
+  private countRecentTerminations(): number {
+    const oldestMs = this.clock.monotonicMs() - CORRELATION_WINDOW_MS;
+    for (const [address, atMs] of this.recentTerminationsMs) {
+      if (atMs <= oldestMs) {
+        this.recentTerminationsMs.delete(address);
       }
     }
-    return this.lateEndsMs.size;
+    return this.recentTerminationsMs.size;
   }
 
   private trim(): void {
-    const oldestMs = this.clock.monotonicMs() - SHARED_MS;
-    for (const [address, endedMs] of this.endedMs) {
-      if (endedMs <= oldestMs) {
-        this.endedMs.delete(address);
+    const oldestMs = this.clock.monotonicMs() - RESULT_REUSE_MS;
+    for (const [address, atMs] of this.terminatedMs) {
+      if (atMs <= oldestMs) {
+        this.terminatedMs.delete(address);
       }
     }
   }
--- a/src/quarantine/fingerprint_request.ts
+++ b/src/quarantine/fingerprint_request.ts
@@ -1,23 +1,23 @@
 import {createHash} from 'node:crypto';
 
-/** What makes two sendings the same request: who sends what, and where to. */
+/** What identifies a request: two with the same content count as the same request. */
 export interface RequestContent {
   readonly method: string;
   /** Path and query. */
   readonly path: string;
-  /** The customer; empty where a route needs no key. */
+  /** The customer; empty if the route needs no key. */
   readonly caller: string;
   readonly body: Uint8Array;
 }
 
-/** Bytes kept of the digest: two requests of a fleet's lifetime do not meet. */
+/** Bytes kept of the digest: enough to avoid collisions over the lifetime of a fleet. */
 const FINGERPRINT_BYTES = 12;
 const SEPARATOR = '\n';
 
 /**
- * Names a request by its content, whatever id it bears, so that hosts can speak of
- * it. It takes 14 µs for a body of 12 KB (mean of 20,000), so
- * it is made only when it is asked for.
+ * Returns a name for a request that depends only on its content, not on its id, so that
+ * all hosts use the same name. It takes 14 µs for a body of 12 KB (mean of 20,000
+ * calls), so it is computed only when needed.
  */
 export function fingerprintRequest(content: RequestContent): string {
   const {method, path, caller, body} = content;
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,4 +1,4 @@
-/** Requests that end the servers that run them: how they are known and kept away. */
+/** Quarantine: detects and blocks requests that terminate the servers that run them. */
 export {EndedServers} from './ended_servers.js';
 export type {LookForEnd} from './ended_servers.js';
 export {fingerprintRequest} from './fingerprint_request.js';
@@ -9,11 +9,15 @@
 export type {QuarantineRowsOptions} from './quarantine_rows.js';
 export {createSuspectWords} from './suspect_words.js';
 export {suspectNewsSchema} from './suspect.js';
-export type {SuspectNews, ToldEnd, ToldSuspect} from './suspect.js';
+export type {
+  SuspectUpdates,
+  ReportedTermination,
+  ReportedSuspect,
+} from './suspect.js';
 export {nameServerEnd} from './server_end_name.js';
 export {SenderRuns} from './sender_runs.js';
 export type {Sender} from './sender_runs.js';
 export {WatchedSender} from './watched_sender.js';
 export type {WatchedSenderOptions} from './watched_sender.js';
 export {WatchedContent} from './watched_content.js';
-export type {BrokenServer, WatchOptions} from './watched_content.js';
+export type {DisconnectedServer, WatchOptions} from './watched_content.js';
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -2,39 +2,40 @@
 import {Log} from '../log/index.js';
 import {Metrics} from '../metrics/index.js';
 import {Clock} from '../time/index.js';
-import {MAX_TOLD, Suspect, ToldSuspect} from './suspect.js';
-import {getPlace} from './server_end_name.js';
+import {MAX_SUSPECTS_PER_MESSAGE, Suspect, ReportedSuspect} from './suspect.js';
+import {getTerminationAddress} from './server_end_name.js';
 import {getSuspicionRule, isSender} from './suspicion_rule.js';
 
-/** What the quarantine works with. */
+/** Dependencies of `Quarantine`. */
 export interface QuarantineOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** What is told of suspects, and up to which version. */
+/** Changed suspects, and the version up to which they are complete. */
 export interface SuspectPage {
   readonly version: number;
-  readonly suspects: ToldSuspect[];
+  readonly suspects: ReportedSuspect[];
 }
 
-/** Time after its last change at which a suspect is forgotten, in milliseconds. */
-const FORGET_MS = 600_000;
-/** How many times the ends that count have to be seen where all are of one place. */
-const ONE_PLACE_FACTOR = 2;
-/** Suspects remembered; the oldest that is not kept away is forgotten beyond. */
+/** Time after its last change at which a suspect is removed, in milliseconds. */
+const RETENTION_MS = 600_000;
+/** Factor for the required terminations if all are at one address. */
+const SINGLE_ADDRESS_FACTOR = 2;
+/** Maximum number of suspects; beyond it the oldest that is not blocked is removed. */
 const MAX_SUSPECTS = 2000;
 
 /**
- * Requests that end the servers that run them, by content: whoever saw a server end
- * under one tells all, and what has ended several servers is sent to none any more.
- * Without it one such request, asked again by its caller at every host, ended 42
- * servers in half a minute (seen by operators); three hosts before 14 servers lost
- * ten more after the third, and none with it (test of the programs).
+ * Tracks requests that terminate the servers that run them, by content. A host that
+ * observes a termination reports it to all hosts, and a request that has terminated
+ * several servers is no longer sent to any. Without the quarantine one such request,
+ * retried by its caller at every host, terminated 42 servers in half a minute (observed
+ * by operators). In a test of the programs with three hosts and 14 servers, ten more
+ * servers terminated after the third without it, and none with it.
  *
- * Words of hosts are merged by union and maximum, so that they may come late, twice
- * and in any order.
+ * Reports of hosts are merged by union and maximum, so they may arrive delayed, twice and
+ * in any order.
  */
 export class Quarantine {
   /** By content; the least recently changed first. */
@@ -43,83 +44,80 @@
   private version = 0;
 
   constructor(private readonly options: QuarantineOptions) {
-    options.metrics.addCounter(
-      'quarantined',
-      'Contents that were kept away from servers',
-    );
+    options.metrics.addCounter('quarantined', 'Contents that were blocked');
     options.metrics.addGauge(
       'quarantine_suspects',
-      'Contents under which servers have ended',
+      'Contents under which servers have terminated',
       () => this.suspects.size,
     );
   }
 
-  /** Has a function called when this host has seen a server end under a request. */
+  /** Adds a function that is called when this host observes a termination under a request. */
   addListener(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Tells whether there is any suspect, so that contents have to be told apart. */
+  /** Returns whether there is any suspect; if not, no fingerprints are needed. */
   hasSuspects(): boolean {
     return this.suspects.size > 0;
   }
 
-  /** Returns what is known of a content when a run of it begins. */
+  /** Returns the level of a content, to be kept when a run of it begins. */
   getLevel(content: string): number {
     const suspect = this.suspects.get(content);
     return suspect === undefined ? 0 : readLevel(suspect);
   }
 
-  /** Returns the time for which a content is still kept away, in milliseconds. */
+  /** Returns the time for which a content is still blocked, in milliseconds. */
   getHeldMs(content: string): number {
     const suspect = this.suspects.get(content);
-    if (suspect === undefined || !isHeld(suspect)) {
+    if (suspect === undefined || !isBlocked(suspect)) {
       return 0;
     }
-    const leftMs = getHoldMs(suspect) - this.getAgeMs(suspect);
+    const leftMs = getBlockMs(suspect) - this.getAgeMs(suspect);
     if (leftMs <= 0 && !isSender(content)) {
       this.suspects.delete(content);
     }
     return Math.max(0, leftMs);
   }
 
-  /** Tells whether a suspect was kept away, and no run of it was answered since. */
-  isOnTrial(name: string): boolean {
+  /** Returns whether a suspect was blocked and no run of it was answered since. */
+  needsProbe(name: string): boolean {
     const suspect = this.suspects.get(name);
-    return suspect !== undefined && isHeld(suspect);
+    return suspect !== undefined && isBlocked(suspect);
   }
 
-  /** Counts the ends of a suspect in the last milliseconds. */
-  countEndsWithin(name: string, ms: number): number {
+  /** Counts the terminations under a suspect in the last `ms` milliseconds. */
+  countTerminationsWithin(name: string, ms: number): number {
     const oldestMs = this.options.clock.monotonicMs() - ms;
     const ends = this.suspects.get(name)?.ends.values() ?? [];
     return [...ends].filter(({atMs}) => atMs >= oldestMs).length;
   }
 
   /**
-   * Notes that a server has ended while it ran a content.
+   * Records that a server terminated while it ran a content.
    * @param content - The content.
-   * @param server - The server's start.
-   * @param level - What was known when the run began; see `getLevel`.
+   * @param server - Incarnation of the server.
+   * @param level - Level when the run began; see `getLevel`.
    */
   addEnd(content: string, server: string, level: number): void {
     const suspect = this.getSuspect(content);
-    const wasHeld = isHeld(suspect);
+    const wasBlocked = isBlocked(suspect);
     const atMs = this.options.clock.monotonicMs();
     if (!addEnd(suspect, server, {level: level + 1, atMs})) {
       return;
     }
-    suspect.isOwn = true;
-    this.noteChange(content, suspect, wasHeld);
+    suspect.isObservedHere = true;
+    this.recordChange(content, suspect, wasBlocked);
     for (const listener of this.listeners) {
       listener();
     }
   }
 
   /**
-   * Notes that a run of a content was answered.
+   * Records that a run of a content was answered.
    * @param content - The content.
-   * @param level - What was known when the run began; see `getLevel`.
+   * @param level - Level when the run began; see `getLevel`.
    */
   addSuccess(content: string, level: number): void {
     const suspect = this.suspects.get(content);
@@ -127,20 +125,20 @@
       return;
     }
     clear(suspect, level);
-    this.noteChange(content, suspect, true);
+    this.recordChange(content, suspect, true);
   }
 
-  /** Returns the version that the last change made. */
+  /** Returns the version of the last change. */
   getVersion(): number {
     return this.version;
   }
 
-  /** Tells what has changed since a version, the oldest changes first. */
+  /** Lists the suspects that have changed since a version, the oldest changes first. */
   listSince(version: number): SuspectPage {
     const page = listChangedSince(this.suspects, {
       since: version,
       latest: this.version,
-      most: MAX_TOLD,
+      most: MAX_SUSPECTS_PER_MESSAGE,
     });
     return {
       version: page.version,
@@ -148,44 +146,47 @@
     };
   }
 
-  /** Lists what this host saw itself, or what is kept away. */
-  listWorthKeeping(isAlone: boolean): ToldSuspect[] {
-    const worth: ToldSuspect[] = [];
+  /**
+   * Lists the suspects of which this host observed a termination itself.
+   * @param isIsolated - Whether to include those that are not blocked.
+   */
+  listPersistable(isIsolated: boolean): ReportedSuspect[] {
+    const persistable: ReportedSuspect[] = [];
     for (const [content, suspect] of this.suspects) {
-      if (suspect.isOwn && (isAlone || isHeld(suspect))) {
-        worth.push(this.describe(content, suspect));
+      if (suspect.isObservedHere && (isIsolated || isBlocked(suspect))) {
+        persistable.push(this.describe(content, suspect));
       }
     }
-    return worth;
+    return persistable;
   }
 
-  /** Tells whether every end up to a level was cleared by an answer. */
+  /** Returns whether an answer has cleared all terminations up to a level. */
   isCleared(content: string, level: number): boolean {
     return level <= (this.suspects.get(content)?.clearedLevel ?? 0);
   }
 
-  /** Takes in what another host, or an earlier start, has told. */
-  merge(told: readonly ToldSuspect[]): void {
+  /** Merges suspects that another host reports, or that an earlier incarnation stored. */
+  merge(reported: readonly ReportedSuspect[]): void {
     const nowMs = this.options.clock.monotonicMs();
-    for (const {content, clearedLevel, ends} of told) {
-      const young = ends.filter(({ageMs}) => ageMs < FORGET_MS);
-      if (young.length === 0 && !this.suspects.has(content)) {
+    for (const {content, clearedLevel, ends} of reported) {
+      const recent = ends.filter(({ageMs}) => ageMs < RETENTION_MS);
+      if (recent.length === 0 && !this.suspects.has(content)) {
         continue;
       }
       const suspect = this.getSuspect(content);
-      const wasHeld = isHeld(suspect);
+      const wasBlocked = isBlocked(suspect);
       let changed = clear(suspect, clearedLevel);
-      for (const {server, level, ageMs} of young) {
+      for (const {server, level, ageMs} of recent) {
         const isNew = addEnd(suspect, server, {level, atMs: nowMs - ageMs});
         changed ||= isNew;
       }
       if (changed) {
-        this.noteChange(content, suspect, wasHeld);
+        this.recordChange(content, suspect, wasBlocked);
       }
     }
   }
 
-  private describe(content: string, suspect: Suspect): ToldSuspect {
+  private describe(content: string, suspect: Suspect): ReportedSuspect {
     const nowMs = this.options.clock.monotonicMs();
     const ends = [...suspect.ends].map(([server, {level, atMs}]) => ({
       server,
@@ -201,24 +202,24 @@
         clearedLevel: 0,
         ends: new Map(),
         version: 0,
-        isOwn: false,
+        isObservedHere: false,
         changedMs: 0,
         rule: getSuspicionRule(content),
       }
     );
   }
 
-  private noteChange(
+  private recordChange(
     content: string,
     suspect: Suspect,
-    wasHeld: boolean,
+    wasBlocked: boolean,
   ): void {
     suspect.version = ++this.version;
     suspect.changedMs = this.options.clock.monotonicMs();
     this.suspects.delete(content);
     this.suspects.set(content, suspect);
     this.trim();
-    if (!wasHeld && isHeld(suspect)) {
+    if (!wasBlocked && isBlocked(suspect)) {
       const servers = [...suspect.ends.keys()].join(',');
       const level = readLevel(suspect);
       this.options.metrics.increment('quarantined');
@@ -226,21 +227,21 @@
     }
   }
 
-  /** Forgets what is too old, and the oldest where there are too many. */
+  /** Removes suspects that are too old, and the oldest if there are too many. */
   private trim(): void {
     const nowMs = this.options.clock.monotonicMs();
     for (const [content, suspect] of this.suspects) {
-      const isOld = nowMs - suspect.changedMs > FORGET_MS;
-      if (!isOld && this.suspects.size <= MAX_SUSPECTS) {
+      const isExpired = nowMs - suspect.changedMs > RETENTION_MS;
+      if (!isExpired && this.suspects.size <= MAX_SUSPECTS) {
         return;
       }
-      if (isOld || !isHeld(suspect)) {
+      if (isExpired || !isBlocked(suspect)) {
         this.suspects.delete(content);
       }
     }
   }
 
-  /** Returns the time since the last end, in milliseconds. */
+  /** Returns the time since the last termination, in milliseconds. */
   private getAgeMs({ends}: Suspect): number {
     const lastMs = Math.max(...[...ends.values()].map(({atMs}) => atMs));
     return this.options.clock.monotonicMs() - lastMs;
@@ -255,25 +256,26 @@
   return level;
 }
 
-function isHeld(suspect: Suspect): boolean {
+function isBlocked(suspect: Suspect): boolean {
   const {rule, ends} = suspect;
-  const places = new Set([...ends.keys()].map(getPlace));
-  // One server that goes down and up by turns proves less than several that end.
-  const least = places.size > 1 ? rule.ends : rule.ends * ONE_PLACE_FACTOR;
-  return ends.size >= least && countSteps(suspect) >= rule.levels;
+  const addresses = new Set([...ends.keys()].map(getTerminationAddress));
+  // One server that terminates repeatedly proves less than several that terminate.
+  const minTerminations =
+    addresses.size > 1 ? rule.ends : rule.ends * SINGLE_ADDRESS_FACTOR;
+  return ends.size >= minTerminations && countSteps(suspect) >= rule.levels;
 }
 
-function getHoldMs(suspect: Suspect): number {
+function getBlockMs(suspect: Suspect): number {
   const {levels, holdMs, maxHoldMs} = suspect.rule;
   return Math.min(maxHoldMs, holdMs * 2 ** (countSteps(suspect) - levels));
 }
 
-/** Counts the steps in which servers ended since a run was answered. */
+/** Counts the steps in which servers terminated since a run was answered. */
 function countSteps(suspect: Suspect): number {
   return readLevel(suspect) - suspect.clearedLevel;
 }
 
-/** Adds an end that counts; returns whether it was new. */
+/** Adds a termination if it was not cleared; returns whether it was new. */
 function addEnd(
   suspect: Suspect,
   server: string,
@@ -288,7 +290,7 @@
   return true;
 }
 
-/** Drops the ends that an answer has cleared; returns whether that is news. */
+/** Removes the terminations that an answer has cleared; returns whether any level was. */
 function clear(suspect: Suspect, level: number): boolean {
   if (level <= suspect.clearedLevel) {
     return false;
--- a/src/quarantine/sender_runs.ts
+++ b/src/quarantine/sender_runs.ts
@@ -1,78 +1,78 @@
 import {Clock} from '../time/index.js';
 
-/** Who sends, and where to: what bounds what ever-new requests of one sender cost. */
+/** A customer on one route: limits the damage if each of its requests is different. */
 export interface Sender {
-  /** The customer; empty where a route needs no key. */
+  /** The customer; empty if the route needs no key. */
   readonly caller: string;
   readonly route: string;
 }
 
-/** What became of runs. */
+/** Outcomes of runs. */
 interface RunCounts {
   answered: number;
-  /** Runs whose server ended, with nothing that explains it. */
+  /** Runs whose server terminated without being known to leave. */
   lost: number;
 }
 
 /** Runs of one sender. */
 interface SenderCounts {
   running: number;
-  /** Of the present span. */
+  /** Outcomes in the current window. */
   now: RunCounts;
-  /** Of the span before. */
+  /** Outcomes in the previous window. */
   before: RunCounts;
 }
 
-/** Length of a span, in milliseconds; the last one or two count. */
-const SPAN_MS = 5000;
-/** Share of a sender's runs that has to be lost for it to be the cause. */
-const LOST_SHARE = 0.5;
-/** How many times the share of all others that has to be. */
-const TIMES_OTHERS = 2;
+/** Length of a window, in milliseconds; the current and the previous one count. */
+const WINDOW_MS = 5000;
+/** Minimum fraction of a sender's runs that are lost if it is the cause. */
+const MIN_LOST_SHARE = 0.5;
+/** That fraction must exceed this multiple of the fraction for all other senders. */
+const LOST_SHARE_FACTOR = 2;
 
 /**
- * What became of each sender's runs at this host: servers that end under one sender's
- * requests, and hardly under those of others, end because of it.
+ * Counts the outcomes of each sender's runs at this host. If servers terminate under one
+ * sender's requests, and hardly under those of others, that sender is the cause.
  */
 export class SenderRuns {
   private readonly senders = new Map<string, SenderCounts>();
-  private spanStartMs: number;
+  private windowStartMs: number;
 
   constructor(private readonly clock: Clock) {
-    this.spanStartMs = clock.monotonicMs();
+    this.windowStartMs = clock.monotonicMs();
   }
 
-  /** Notes that a run begins. */
+  /** Records that a run begins. */
   begin(sender: Sender): void {
-    this.turn();
-    this.get(sender).running++;
+    this.rotateWindows();
+    this.getCounts(sender).running++;
   }
 
-  /** Notes that a run is over, whatever came of it. */
+  /** Records that a run is over, whatever its outcome. */
   end(sender: Sender): void {
-    this.get(sender).running--;
+    this.getCounts(sender).running--;
   }
 
-  /** Notes that a server answered a run. */
+  /** Records that a server answered a run. */
   addAnswer(sender: Sender): void {
-    this.turn();
-    this.get(sender).now.answered++;
+    this.rotateWindows();
+    this.getCounts(sender).now.answered++;
   }
 
-  /** Notes that a run's server ended. */
+  /** Records that the server of a run terminated. */
   addLoss(sender: Sender): void {
-    this.turn();
-    this.get(sender).now.lost++;
+    this.rotateWindows();
+    this.getCounts(sender).now.lost++;
   }
 
-  /** Tells whether any run of a sender is under way at this host. */
+  /** Returns whether any run of a sender is in progress at this host. */
   isRunning(sender: Sender): boolean {
     return (this.senders.get(toKey(sender))?.running ?? 0) > 0;
   }
 
-  /** Tells whether far more of a sender's runs are lost than of all others'. */
-  standsOut(sender: Sender): boolean {
-    const own = this.get(sender);
+  /** Returns whether a sender loses far more of its runs than all others. */
+  hasExcessLosses(sender: Sender): boolean {
+    const own = this.getCounts(sender);
     const others: SenderCounts = createCounts();
     for (const counts of this.senders.values()) {
       if (counts !== own) {
@@ -80,10 +80,13 @@
       }
     }
     const share = getLostShare(own);
-    return share >= LOST_SHARE && share > TIMES_OTHERS * getLostShare(others);
+    return (
+      share >= MIN_LOST_SHARE &&
+      share > LOST_SHARE_FACTOR * getLostShare(others)
+    );
   }
 
-  private get(sender: Sender): SenderCounts {
+  private getCounts(sender: Sender): SenderCounts {
     const key = toKey(sender);
     const known = this.senders.get(key);
     if (known !== undefined) {
@@ -94,15 +97,16 @@
     return counts;
   }
 
-  /** Forgets what is two spans old, and senders that have nothing since. */
-  private turn(): void {
-    const ageMs = this.clock.monotonicMs() - this.spanStartMs;
-    if (ageMs < SPAN_MS) {
+  /** Starts a new window if due; removes senders without runs in the last one. */
+  private rotateWindows(): void {
+    const elapsedMs = this.clock.monotonicMs() - this.windowStartMs;
+    if (elapsedMs < WINDOW_MS) {
       return;
     }
-    this.spanStartMs += ageMs;
+    this.windowStartMs += elapsedMs;
     for (const [key, counts] of this.senders) {
-      counts.before = ageMs < 2 * SPAN_MS ? counts.now : createRunCounts();
+      counts.before =
+        elapsedMs < 2 * WINDOW_MS ? counts.now : createRunCounts();
       counts.now = createRunCounts();
       const {answered, lost} = counts.before;
       if (counts.running === 0 && answered + lost === 0) {
--- a/src/quarantine/server_end_name.ts
+++ b/src/quarantine/server_end_name.ts
@@ -1,16 +1,16 @@
 const SEPARATOR = '#';
 
 /**
- * Names the end of one start of a server.
- * @param place - Where the server stands: the same for all of its starts.
- * @param start - Differs for every start.
+ * Returns the name of the termination of one server incarnation.
+ * @param address - Address of the server; the same for all its incarnations.
+ * @param incarnation - Differs for each incarnation.
  */
-export function nameServerEnd(place: string, start: string): string {
-  return `${place}${SEPARATOR}${start}`;
+export function nameServerEnd(address: string, incarnation: string): string {
+  return `${address}${SEPARATOR}${incarnation}`;
 }
 
-/** Returns where the server of an end stood; all of the name where it tells no place. */
-export function getPlace(name: string): string {
+/** Returns the address of the terminated server; the whole name if it contains none. */
+export function getTerminationAddress(name: string): string {
   const at = name.indexOf(SEPARATOR);
   return at < 0 ? name : name.slice(0, at);
 }
--- a/src/quarantine/suspect.ts
+++ b/src/quarantine/suspect.ts
@@ -1,63 +1,63 @@
 import {z} from 'zod';
 import {SuspicionRule} from './suspicion_rule.js';
 
-/** Suspects in one message, at most; the next message goes on. */
-export const MAX_TOLD = 200;
-const MAX_ENDS = 1000;
+/** Maximum number of suspects in one message; the next message carries the rest. */
+export const MAX_SUSPECTS_PER_MESSAGE = 200;
+const MAX_TERMINATIONS = 1000;
 const name = z.string().min(1).max(200);
 const count = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
 
-/** A server that ended while it ran a suspect, as hosts tell each other. */
-export const toldEndSchema = z.object({
-  /** One start of the server. */
+/** A server that terminated while it ran a suspect, as hosts report it. */
+export const reportedTerminationSchema = z.object({
+  /** Incarnation of the server. */
   server: name,
-  /** See `ServerEnd.level`. */
+  /** See `ServerTermination.level`. */
   level: count,
   ageMs: z.number().min(0),
 });
 
-/** What a host tells of one suspect. */
-export const toldSuspectSchema = z.object({
+/** One suspect as a host reports it. */
+export const reportedSuspectSchema = z.object({
   content: name,
   /** See `Suspect.clearedLevel`. */
   clearedLevel: count,
-  ends: z.array(toldEndSchema).max(MAX_ENDS),
+  ends: z.array(reportedTerminationSchema).max(MAX_TERMINATIONS),
 });
 
-/** What hosts tell each other of suspects, in heartbeats and in replies to them. */
+/** Suspect updates that hosts exchange in heartbeats and in replies to them. */
 export const suspectNewsSchema = z.object({
-  /** The sender's version up to which this tells what it knows. */
+  /** The sender's version up to which these updates are complete. */
   version: count,
-  /** The receiver's version up to which the sender has heard. */
+  /** The last version of the receiver that the sender has received. */
   heard: count,
-  suspects: z.array(toldSuspectSchema).max(MAX_TOLD),
+  suspects: z.array(reportedSuspectSchema).max(MAX_SUSPECTS_PER_MESSAGE),
 });
 
-export type ToldEnd = z.output<typeof toldEndSchema>;
-export type ToldSuspect = z.output<typeof toldSuspectSchema>;
-export type SuspectNews = z.output<typeof suspectNewsSchema>;
+export type ReportedTermination = z.output<typeof reportedTerminationSchema>;
+export type ReportedSuspect = z.output<typeof reportedSuspectSchema>;
+export type SuspectUpdates = z.output<typeof suspectNewsSchema>;
 
-/** A server that ended while it ran a suspect. */
-export interface ServerEnd {
+/** A server that terminated while it ran a suspect. */
+export interface ServerTermination {
   /**
-   * One more than what was known when the run began: runs that began side by side
-   * count as one step, since one fault of the servers can end them all.
+   * One more than the level that was known when the run began. Runs that began
+   * concurrently count as one step, since one fault of the servers can end them all.
    */
   readonly level: number;
-  /** Monotonic milliseconds. */
+  /** Time of the termination, monotonic milliseconds. */
   readonly atMs: number;
 }
 
-/** A request, by its content, under which servers have ended. */
+/** A request, identified by its content, or a sender, under which servers terminated. */
 export interface Suspect {
-  /** Level at which a run began that was answered: ends up to it tell nothing. */
+  /** Level at which an answered run began; terminations up to this level don't count. */
   clearedLevel: number;
-  /** By the server's start. */
-  readonly ends: Map<string, ServerEnd>;
-  /** Version at which it last changed here. */
+  /** By server incarnation. */
+  readonly ends: Map<string, ServerTermination>;
+  /** Version of its last change at this host. */
   version: number;
-  /** Whether an end was seen by this host. */
-  isOwn: boolean;
+  /** Whether this host observed a termination itself. */
+  isObservedHere: boolean;
   /** When it last changed, monotonic milliseconds. */
   changedMs: number;
   readonly rule: SuspicionRule;
--- a/src/quarantine/suspect_words.ts
+++ b/src/quarantine/suspect_words.ts
@@ -1,7 +1,7 @@
 import {ChangeWords} from '../changes/index.js';
 import {Quarantine, SuspectPage} from './quarantine.js';
 
-/** Makes the words by which hosts tell each other of requests that end servers. */
+/** Creates the messages in which hosts exchange suspects. */
 export function createSuspectWords(
   quarantine: Quarantine,
 ): ChangeWords<SuspectPage> {
--- a/src/quarantine/suspicion_rule.ts
+++ b/src/quarantine/suspicion_rule.ts
@@ -1,27 +1,28 @@
-/** When a suspect is kept away from servers, and for how long. */
+/** When a suspect is blocked, and for how long. */
 export interface SuspicionRule {
-  /** Servers that have to end under a content, or contents of a sender that end some. */
+  /** Minimum number of terminated servers (for a sender: of contents that terminated one). */
   readonly ends: number;
   /**
-   * Steps in which they have to end: what came after a first loss was known and was
-   * lost again. What runs wherever servers fail together is answered the next time,
-   * which clears it.
+   * Minimum number of steps in which the servers terminated. A further step means that
+   * the suspect was run again after the earlier loss was known, and was lost again. A
+   * request that merely ran where several servers failed together is answered the next
+   * time, which clears it.
    */
   readonly levels: number;
-  /** Time for which it is kept away after its last end, in milliseconds. */
+  /** Time for which it is blocked after its last termination, in milliseconds. */
   readonly holdMs: number;
-  /** Longest such time, in milliseconds: it doubles with each further step. */
+  /** Maximum of that time, which doubles with each further step, in milliseconds. */
   readonly maxHoldMs: number;
 }
 
 const TEN_MINUTES_MS = 600_000;
-/** Begins the names of suspects that are senders. */
+/** Prefix of the names of suspects that are senders. */
 const SENDER_PREFIX = 'sender:';
 
 /**
- * One request, by its content: one that still ends servers costs a few every ten
- * minutes, and one that was suspected wrongly, or whose servers were mended, is served
- * again without an operator.
+ * Rule for one request, identified by its content. A request that still terminates
+ * servers costs a few of them every ten minutes. One that was suspected wrongly, or
+ * whose servers were repaired, is served again without an operator.
  */
 const CONTENT_RULE: SuspicionRule = {
   ends: 3,
@@ -31,8 +32,9 @@
 };
 
 /**
- * All that one customer sends on one route: its other requests are kept away, too, so
- * it is tried again soon at first, and ever more seldom while it ends servers.
+ * Rule for all requests of one customer on one route. Its harmless requests are blocked,
+ * too, so it is retried soon at first, and less and less often while it terminates
+ * servers.
  */
 const SENDER_RULE: SuspicionRule = {
   ends: 3,
@@ -41,12 +43,12 @@
   maxHoldMs: TEN_MINUTES_MS,
 };
 
-/** Names a sender as a suspect. */
+/** Returns the name of a sender as a suspect. */
 export function nameSender(fingerprint: string): string {
   return SENDER_PREFIX + fingerprint;
 }
 
-/** Tells whether a suspect is a sender, and not one request. */
+/** Returns whether a suspect is a sender rather than a single request. */
 export function isSender(suspect: string): boolean {
   return suspect.startsWith(SENDER_PREFIX);
 }
--- a/src/quarantine/watched_content.ts
+++ b/src/quarantine/watched_content.ts
@@ -1,38 +1,39 @@
-import {EndedServers, WAVE_MS} from './ended_servers.js';
+import {EndedServers, CORRELATION_WINDOW_MS} from './ended_servers.js';
 import {fingerprintRequest, RequestContent} from './fingerprint_request.js';
 import {Quarantine} from './quarantine.js';
 import {nameServerEnd} from './server_end_name.js';
 import {WatchedSender} from './watched_sender.js';
 
-/** What watched contents work with. */
+/** Dependencies of `WatchedContent`. */
 export interface WatchOptions {
   readonly quarantine: Quarantine;
   readonly endedServers: EndedServers;
 }
 
-/** A server that broke a run off. */
-export interface BrokenServer {
+/** A server that closed the connection during a run. */
+export interface DisconnectedServer {
   readonly name: string;
-  /** Differs for every start of the server, where it tells them apart. */
+  /** Differs for each incarnation; absent if the server does not distinguish them. */
   readonly start?: string;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   /**
-   * Whether it was known to be leaving: then its end tells nothing of what it ran.
+   * Whether it was known to be leaving; its termination then says nothing about the
+   * requests that it ran.
    */
   readonly wasLeaving?: boolean;
 }
 
-/** What the quarantine knows of one caller's request, and learns from its runs. */
+/** Connects the runs of one caller's request with the quarantine. */
 export class WatchedContent {
   private name: string | undefined;
-  /** What was known when the present run began. */
+  /** Level in the quarantine when the current run began. */
   private level = 0;
 
   /**
-   * @param options - Knows what ended servers, and which have.
-   * @param getContent - Returns the content; asked for only while it matters.
-   * @param sender - Its sender, where what one sender costs is bounded.
+   * @param options - The quarantine, and the detection of terminated servers.
+   * @param getContent - Returns the content; called only when it is needed.
+   * @param sender - Its sender; absent if senders are not watched.
    */
   constructor(
     private readonly options: WatchOptions,
@@ -40,25 +41,25 @@
     private readonly sender?: WatchedSender,
   ) {}
 
-  /** Returns the name of the content by which hosts speak of it. */
+  /** Returns the fingerprint of the content, the same at all hosts. */
   getName(): string {
     this.name ??= fingerprintRequest(this.getContent());
     return this.name;
   }
 
-  /** Returns the time for which it is kept away from servers, in milliseconds. */
+  /** Returns the time for which the request is still blocked, in milliseconds. */
   getHeldMs(): number {
     return this.options.quarantine.hasSuspects()
       ? this.options.quarantine.getHeldMs(this.getName())
       : 0;
   }
 
-  /** Returns the time for which its sender is, in milliseconds. */
+  /** Returns the time for which its sender is still blocked, in milliseconds. */
   getSenderHeldMs(): number {
-    return this.sender?.getHeldMs() ?? 0;
+    return this.sender?.getRemainingBlockMs() ?? 0;
   }
 
-  /** Notes that a run begins; `endRun` ends it. */
+  /** Records that a run begins; call `endRun` when it is over. */
   beginRun(): void {
     this.sender?.beginRun();
     this.level = this.options.quarantine.hasSuspects()
@@ -66,45 +67,46 @@
       : 0;
   }
 
-  /** Notes that the run is over, whatever came of it. */
+  /** Records that the run is over, whatever its outcome. */
   endRun(): void {
     this.sender?.endRun();
   }
 
   /**
-   * Notes that a server broke the run off, and looks whether it has ended.
-   * @param server - The server, if it is still known; without a start where it does
-   *   not tell its starts apart: an end that was not known when the run began is
-   *   another start's.
-   * @returns Whether it has ended.
+   * Records that a server closed the connection, and checks whether it has terminated.
+   * @param server - The server, if it is still known. If it does not distinguish its
+   *   incarnations, the level when the run began does so in their place.
+   * @returns Whether it has terminated.
    */
-  async addLoss(server: BrokenServer | undefined): Promise<boolean> {
+  async addLoss(server: DisconnectedServer | undefined): Promise<boolean> {
     if (server === undefined) {
       return false;
     }
     const {name, start, address, wasLeaving} = server;
-    const hasEnded = await this.options.endedServers.hasEnded(address);
-    if (hasEnded && wasLeaving !== true) {
+    const hasTerminated =
+      await this.options.endedServers.hasTerminated(address);
+    if (hasTerminated && wasLeaving !== true) {
       this.addEnd(nameServerEnd(address, start ?? `${name}/${this.level}`));
     }
-    return hasEnded;
+    return hasTerminated;
   }
 
   /**
-   * Notes that a server is known to have ended during the run.
-   * @param end - See `nameServerEnd`.
+   * Records that a server is known to have terminated during the run.
+   * @param end - Name of the termination; see `nameServerEnd`.
    */
   addEnd(end: string): void {
     const {quarantine, endedServers} = this.options;
     const content = this.getName();
-    const own = quarantine.countEndsWithin(content, WAVE_MS) + 1;
-    if (!endedServers.endsForAnotherCause(own)) {
+    const own =
+      quarantine.countTerminationsWithin(content, CORRELATION_WINDOW_MS) + 1;
+    if (!endedServers.hasAnotherCause(own)) {
       quarantine.addEnd(content, end, this.level);
     }
-    this.sender?.addEnd(content);
+    this.sender?.addTermination(content);
   }
 
-  /** Notes that the server answered the run, be it with a failure. */
+  /** Records that the server answered the run, even with a failure. */
   addAnswer(): void {
     if (this.level > 0) {
       this.options.quarantine.addSuccess(this.getName(), this.level);
--- a/src/quarantine/watched_sender.ts
+++ b/src/quarantine/watched_sender.ts
@@ -1,32 +1,33 @@
-import {EndedServers, WAVE_MS} from './ended_servers.js';
+import {EndedServers, CORRELATION_WINDOW_MS} from './ended_servers.js';
 import {fingerprintRequest} from './fingerprint_request.js';
 import {Quarantine} from './quarantine.js';
 import {Sender, SenderRuns} from './sender_runs.js';
 import {nameSender} from './suspicion_rule.js';
 
-/** What watched senders work with. */
+/** Dependencies of `WatchedSender`. */
 export interface WatchedSenderOptions {
   readonly quarantine: Quarantine;
   readonly endedServers: EndedServers;
   readonly senderRuns: SenderRuns;
 }
 
-/** Time to come back while another of the sender's requests is tried, in ms. */
-const TRIAL_MS = 500;
-const NOTHING = new Uint8Array();
+/** Retry time while another request of the sender runs as a probe, in milliseconds. */
+const PROBE_RETRY_MS = 500;
+const EMPTY_BODY = new Uint8Array();
 
 /**
- * What the quarantine knows of a request's sender, and learns from its runs: a sender
- * whose requests differ each time could else end servers without end. One that stands
- * out is kept away, then tried by one request at a time, until one is answered.
+ * Connects the runs of a request's sender with the quarantine. Otherwise a sender whose
+ * requests differ each time could terminate any number of servers. A sender with excess
+ * losses is blocked, then probed with one request at a time at each host, until one is
+ * answered.
  */
 export class WatchedSender {
   private name: string | undefined;
-  /** What was known when the present run began. */
+  /** Level in the quarantine when the current run began. */
   private level = 0;
 
   /**
-   * @param options - Knows what ended servers, and what became of runs.
+   * @param options - The quarantine, terminated servers, and outcomes of runs.
    * @param sender - The sender.
    */
   constructor(
@@ -34,19 +35,20 @@
     private readonly sender: Sender,
   ) {}
 
-  /** Returns the time for which it is kept away from servers, in milliseconds. */
-  getHeldMs(): number {
+  /** Returns the time for which the sender is still blocked, in milliseconds. */
+  getRemainingBlockMs(): number {
     const {quarantine, senderRuns} = this.options;
     if (!quarantine.hasSuspects()) {
       return 0;
     }
-    const heldMs = quarantine.getHeldMs(this.getName());
-    const isTried =
-      quarantine.isOnTrial(this.getName()) && senderRuns.isRunning(this.sender);
-    return Math.max(heldMs, isTried ? TRIAL_MS : 0);
+    const blockMs = quarantine.getHeldMs(this.getName());
+    const isProbed =
+      quarantine.needsProbe(this.getName()) &&
+      senderRuns.isRunning(this.sender);
+    return Math.max(blockMs, isProbed ? PROBE_RETRY_MS : 0);
   }
 
-  /** Notes that a run begins. */
+  /** Records that a run begins. */
   beginRun(): void {
     const {quarantine, senderRuns} = this.options;
     senderRuns.begin(this.sender);
@@ -55,27 +57,32 @@
       : 0;
   }
 
-  /** Notes that a run is over. */
+  /** Records that a run is over. */
   endRun(): void {
     this.options.senderRuns.end(this.sender);
   }
 
   /**
-   * Notes that a server has ended during the run.
-   * @param content - What it ran: one content that ends many servers is kept away by
-   *   itself, and tells little of what else its sender sends.
+   * Records that a server has terminated during the run.
+   * @param content - Name of the content that it ran. Each content counts once, since one
+   *   that terminates many servers is blocked by itself, and says little about the other
+   *   requests of its sender.
    */
-  addEnd(content: string): void {
+  addTermination(content: string): void {
     const {quarantine, endedServers, senderRuns} = this.options;
     senderRuns.addLoss(this.sender);
-    const own = quarantine.countEndsWithin(this.getName(), WAVE_MS) + 1;
-    const isCause = !endedServers.endsForAnotherCause(own);
-    if (isCause && senderRuns.standsOut(this.sender)) {
+    const own =
+      quarantine.countTerminationsWithin(
+        this.getName(),
+        CORRELATION_WINDOW_MS,
+      ) + 1;
+    const isCause = !endedServers.hasAnotherCause(own);
+    if (isCause && senderRuns.hasExcessLosses(this.sender)) {
       quarantine.addEnd(this.getName(), content, this.level);
     }
   }
 
-  /** Notes that a server answered the run. */
+  /** Records that a server answered the run. */
   addAnswer(): void {
     this.options.senderRuns.addAnswer(this.sender);
     if (this.level > 0) {
@@ -89,7 +96,7 @@
         method: '',
         path: this.sender.route,
         caller: this.sender.caller,
-        body: NOTHING,
+        body: EMPTY_BODY,
       }),
     );
     return this.name;
--- a/test/quarantine/fingerprint_request_test.ts
+++ b/test/quarantine/fingerprint_request_test.ts
@@ -21,14 +21,14 @@
     body: {body: Buffer.from('bodY')},
   };
   for (const [name, other] of Object.entries(others)) {
-    it(`tells another ${name}`, () => {
+    it(`differs for another ${name}`, () => {
       expect(fingerprintRequest({...content, ...other})).not.to.equal(
         fingerprintRequest(content),
       );
     });
   }
 
-  it('tells where one part ends and the next begins', () => {
+  it('depends on where one part ends and the next begins', () => {
     const moved = {...content, path: '/desk/x?y=1\nguild', caller: ''};
     expect(fingerprintRequest(moved)).not.to.equal(fingerprintRequest(content));
   });
--- a/test/quarantine/quarantine_rows_test.ts
+++ b/test/quarantine/quarantine_rows_test.ts
@@ -21,21 +21,21 @@
     table = new MemoryTableService();
   });
 
-  function createHost(hears = true) {
+  function createHost(reachesOthers = true) {
     const log = new SilentLog();
-    const state = {hears};
+    const state = {reachesOthers};
     const quarantine = new Quarantine({clock, log, metrics: new Metrics()});
     const rows = new QuarantineRows({
       clock,
       log,
       table,
       quarantine,
-      hearsOthers: () => state.hears,
+      hearsOthers: () => state.reachesOthers,
     });
     return {quarantine, rows, state};
   }
 
-  function endInTurn(quarantine: Quarantine, ...servers: string[]): void {
+  function terminateInTurn(quarantine: Quarantine, ...servers: string[]): void {
     for (const server of servers) {
       quarantine.addEnd(CONTENT, server, quarantine.getLevel(CONTENT));
     }
@@ -45,27 +45,27 @@
     return (await table.list('')).unwrapOr([]).length;
   }
 
-  it('tells a host that starts what hosts knew that are gone', async () => {
+  it('restores at a new host what terminated hosts knew', async () => {
     const first = createHost();
-    endInTurn(first.quarantine, 's1', 's2@17', 's/3');
+    terminateInTurn(first.quarantine, 's1', 's2@17', 's/3');
     await first.rows.step();
     const second = createHost();
     await second.rows.step();
     expect(second.quarantine.getHeldMs(CONTENT)).to.be.greaterThan(0);
   });
 
-  it('writes nothing of a request that is not kept away', async () => {
+  it('writes no rows for a request that is not blocked', async () => {
     const host = createHost();
-    endInTurn(host.quarantine, 's1', 's2');
+    terminateInTurn(host.quarantine, 's1', 's2');
     await host.rows.step();
     expect(await countRows()).to.equal(0);
   });
 
-  it('adds up what hosts saw that do not hear each other', async () => {
+  it('combines the observations of hosts that cannot reach each other', async () => {
     const first = createHost(false);
     const second = createHost(false);
-    endInTurn(first.quarantine, 's1', 's2');
-    endInTurn(second.quarantine, 's3');
+    terminateInTurn(first.quarantine, 's1', 's2');
+    terminateInTurn(second.quarantine, 's3');
     await first.rows.step();
     await second.rows.step();
     await clock.advance(1000);
@@ -76,24 +76,24 @@
     }
   });
 
-  it('reads once more when others are heard again', async () => {
+  it('reads once more when the others are reachable again', async () => {
     const first = createHost();
     await first.rows.step();
-    first.state.hears = false;
+    first.state.reachesOthers = false;
     await clock.advance(1000);
     await first.rows.step();
     const second = createHost();
-    endInTurn(second.quarantine, 's1', 's2', 's3');
+    terminateInTurn(second.quarantine, 's1', 's2', 's3');
     await second.rows.step();
-    first.state.hears = true;
+    first.state.reachesOthers = true;
     await clock.advance(1000);
     await first.rows.step();
     expect(first.quarantine.getHeldMs(CONTENT)).to.be.greaterThan(0);
   });
 
-  it('removes what an answer has cleared', async () => {
+  it('removes rows that an answer has cleared', async () => {
     const {quarantine, rows} = createHost();
-    endInTurn(quarantine, 's1', 's2', 's3');
+    terminateInTurn(quarantine, 's1', 's2', 's3');
     await rows.step();
     expect(await countRows()).to.equal(3);
     quarantine.addSuccess(CONTENT, 3);
@@ -101,9 +101,9 @@
     expect(await countRows()).to.equal(0);
   });
 
-  it('removes what nobody counts any more, and what cannot be read', async () => {
+  it('removes expired rows and invalid rows', async () => {
     const {quarantine, rows} = createHost();
-    endInTurn(quarantine, 's1', 's2', 's3');
+    terminateInTurn(quarantine, 's1', 's2', 's3');
     await rows.step();
     await table.transact([
       {kind: StepKind.PUT, key: 'quarantine/x', value: 'no record'},
@@ -115,9 +115,9 @@
     expect(await countRows()).to.equal(0);
   });
 
-  it('writes later what a table that was away did not take', async () => {
+  it('retries rows that an unreachable table did not store', async () => {
     const host = createHost();
-    endInTurn(host.quarantine, 's1', 's2', 's3');
+    terminateInTurn(host.quarantine, 's1', 's2', 's3');
     const {transact} = table;
     table.transact = async () =>
       Result.err({kind: TableFailureKind.UNREACHED, detail: 'away'});
--- a/test/quarantine/quarantine_test.ts
+++ b/test/quarantine/quarantine_test.ts
@@ -24,69 +24,69 @@
     });
   }
 
-  /** Runs the content at servers, one after the other, that all end. */
-  function endInTurn(...servers: readonly string[]): void {
+  /** Runs the content at servers, one after the other, that all terminate. */
+  function terminateInTurn(...servers: readonly string[]): void {
     for (const server of servers) {
       quarantine.addEnd(CONTENT, server, quarantine.getLevel(CONTENT));
     }
   }
 
-  function isHeld(held = quarantine): boolean {
-    return held.getHeldMs(CONTENT) > 0;
+  function isBlocked(target = quarantine): boolean {
+    return target.getHeldMs(CONTENT) > 0;
   }
 
-  describe('a request under which servers end', () => {
-    it('is kept away after the third, for ten minutes', async () => {
-      endInTurn('s1', 's2');
-      expect(isHeld()).to.equal(false);
-      endInTurn('s3');
+  describe('a request under which servers terminate', () => {
+    it('is blocked after the third termination, for ten minutes', async () => {
+      terminateInTurn('s1', 's2');
+      expect(isBlocked()).to.equal(false);
+      terminateInTurn('s3');
       expect(quarantine.getHeldMs(CONTENT)).to.equal(TEN_MINUTES_MS);
       await clock.advance(TEN_MINUTES_MS);
-      expect(isHeld()).to.equal(false);
+      expect(isBlocked()).to.equal(false);
     });
 
-    it('is kept away though most of its runs began side by side', () => {
+    it('is blocked though most of its runs began concurrently', () => {
       for (const server of ['s1', 's2', 's3']) {
         quarantine.addEnd(CONTENT, server, 0);
       }
-      expect(isHeld()).to.equal(false);
-      endInTurn('s4');
-      expect(isHeld()).to.equal(true);
+      expect(isBlocked()).to.equal(false);
+      terminateInTurn('s4');
+      expect(isBlocked()).to.equal(true);
     });
 
-    it('counts a start of a server once', () => {
-      endInTurn('s1', 's1', 's1', 's1');
-      expect(isHeld()).to.equal(false);
+    it('counts each incarnation of a server once', () => {
+      terminateInTurn('s1', 's1', 's1', 's1');
+      expect(isBlocked()).to.equal(false);
     });
 
-    it('leaves others alone', () => {
-      endInTurn('s1', 's2', 's3');
+    it('does not affect other requests', () => {
+      terminateInTurn('s1', 's2', 's3');
       expect(quarantine.getHeldMs('c2')).to.equal(0);
     });
   });
 
-  describe('a popular request that runs where servers fail together', () => {
-    it('is not kept away, and is cleared by its next answer', () => {
+  describe('a frequent request on servers that fail together', () => {
+    it('is not blocked, and is cleared by its next answer', () => {
       for (const server of ['s1', 's2', 's3', 's4']) {
         quarantine.addEnd(CONTENT, server, 0);
       }
       quarantine.addSuccess(CONTENT, quarantine.getLevel(CONTENT));
-      endInTurn('s5', 's6');
-      expect(isHeld()).to.equal(false);
-      endInTurn('s7');
-      expect(isHeld()).to.equal(true);
+      terminateInTurn('s5', 's6');
+      expect(isBlocked()).to.equal(false);
+      terminateInTurn('s7');
+      expect(isBlocked()).to.equal(true);
     });
 
     it('is not cleared by an answer to a run from before they failed', () => {
-      endInTurn('s1', 's2');
+      terminateInTurn('s1', 's2');
       quarantine.addSuccess(CONTENT, 0);
-      endInTurn('s3');
-      expect(isHeld()).to.equal(true);
+      terminateInTurn('s3');
+      expect(isBlocked()).to.equal(true);
     });
   });
 
-  describe('word from host to host', () => {
-    it('adds up what several saw, in any order and more than once', () => {
+  describe('a report from another host', () => {
+    it('is merged with others, in any order and more than once', () => {
       const second = create();
       const third = create();
       quarantine.addEnd(CONTENT, 's1', 0);
@@ -98,15 +98,15 @@
           to.merge(from.listSince(0).suspects);
         }
       }
-      expect([quarantine, second, third].map(isHeld)).to.deep.equal([
+      expect([quarantine, second, third].map(isBlocked)).to.deep.equal([
         true,
         true,
         true,
       ]);
     });
 
-    it('tells only what has changed since a version', () => {
-      endInTurn('s1');
+    it('contains only what has changed since a version', () => {
+      terminateInTurn('s1');
       const {version} = quarantine.listSince(0);
       expect(quarantine.listSince(version).suspects).to.deep.equal([]);
       quarantine.addEnd('c2', 's1', 0);
@@ -116,16 +116,16 @@
       expect(contents).to.deep.equal(['c2']);
     });
 
-    it('ends: what is known is no news', () => {
+    it('changes no version if everything in it is known', () => {
       const second = create();
-      endInTurn('s1', 's2');
+      terminateInTurn('s1', 's2');
       second.merge(quarantine.listSince(0).suspects);
       const before = quarantine.getVersion();
       quarantine.merge(second.listSince(0).suspects);
       expect(quarantine.getVersion()).to.equal(before);
     });
 
-    it('is told page by page where there is much', () => {
+    it('is split into pages if there are many suspects', () => {
       for (let index = 0; index < 450; index++) {
         quarantine.addEnd(`c${index}`, 's1', 0);
       }
@@ -142,13 +142,13 @@
       expect(second.getLevel('c449')).to.equal(1);
     });
 
-    it('clears at every host what was answered at one', () => {
+    it('clears at every host what was answered at one host', () => {
       const second = create();
-      endInTurn('s1', 's2');
+      terminateInTurn('s1', 's2');
       second.merge(quarantine.listSince(0).suspects);
       second.addSuccess(CONTENT, second.getLevel(CONTENT));
       quarantine.merge(second.listSince(0).suspects);
-      // Told late, the ends do not come back.
+      // A delayed report does not restore the cleared terminations.
       quarantine.merge([
         {
           content: CONTENT,
@@ -156,13 +156,13 @@
           ends: [{server: 's1', level: 1, ageMs: 0}],
         },
       ]);
-      endInTurn('s3', 's4');
-      expect(isHeld()).to.equal(false);
+      terminateInTurn('s3', 's4');
+      expect(isBlocked()).to.equal(false);
     });
 
-    it('counts from when the servers ended, not from when it came', async () => {
+    it('is dated by the terminations, not by its arrival', async () => {
       const second = create();
-      endInTurn('s1', 's2', 's3');
+      terminateInTurn('s1', 's2', 's3');
       await clock.advance(TEN_MINUTES_MS / 2);
       second.merge(quarantine.listSince(0).suspects);
       expect(second.getHeldMs(CONTENT)).to.equal(TEN_MINUTES_MS / 2);
@@ -174,12 +174,12 @@
   });
 
   describe('many suspects', () => {
-    it('forget the oldest, but none that is kept away', () => {
-      endInTurn('s1', 's2', 's3');
+    it('evict the oldest, but none that is blocked', () => {
+      terminateInTurn('s1', 's2', 's3');
       for (let index = 0; index < 5000; index++) {
         quarantine.addEnd(`other${index}`, 's1', 0);
       }
-      expect(isHeld()).to.equal(true);
+      expect(isBlocked()).to.equal(true);
       expect(quarantine.getLevel('other0')).to.equal(0);
       expect(quarantine.getLevel('other4999')).to.equal(1);
     });
--- a/test/quarantine/servers_that_end.ts
+++ b/test/quarantine/servers_that_end.ts
@@ -10,9 +10,9 @@
 import {VirtualClock} from '../../src/time/index.js';
 
 export const DEPLOYMENT = 'dossier';
-const SERVERS = 10;
+const SERVER_COUNT = 10;
 
-/** Servers of one deployment; a test says which request ends those that run it. */
+/** Servers of one deployment; a test decides which request terminates them. */
 export class ServersThatEnd {
   readonly clock = new VirtualClock();
   readonly log = new SilentLog();
@@ -25,14 +25,14 @@
   readonly endedServers = new EndedServers(this.clock, async address =>
     this.down.has(address),
   );
-  /** Servers that have ended, in order; a name may come again. */
+  /** Names of the terminated servers, in order; a name may occur more than once. */
   readonly ends: string[] = [];
-  /** Addresses where nothing listens now. */
+  /** Addresses at which nothing listens now. */
   readonly down = new Set<string>();
 
-  /** @param runs - What the servers run: an engine or a plain service. */
+  /** @param runs - What the servers run: a model engine or a plain service. */
   constructor(runs: 'engine' | 'service') {
-    const servers = Array.from({length: SERVERS}, (_unused, index) => ({
+    const servers = Array.from({length: SERVER_COUNT}, (_unused, index) => ({
       schemaVersion: 2,
       kind: RecordKind.SERVER,
       name: `server-${index}`,
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Ends a server that runs a request, for good.
-   * @returns What its caller sees of that.
+   * Terminates a server that runs a request, without a restart.
+   * @returns The failure that the caller of the server receives.
    */
   end(name: string, address: string): ServerFailure {
     this.ends.push(name);
--- a/test/quarantine/innocents_test.ts
+++ b/test/quarantine/unaffected_requests_test.ts
@@ -1,4 +1,4 @@
-/** Pattern: long requests that go on elsewhere, and meet the end of several servers. */
+/** Long requests that lose several servers in turn must not be blocked for it. */
 import {expect} from 'chai';
 import {SilentLog} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
@@ -12,12 +12,12 @@
 import {SeededRandom} from '../../src/random/index.js';
 import {VirtualClock} from '../../src/time/index.js';
 
-const SERVERS = 14;
-const REQUESTS = 1000;
-const CUSTOMERS = 5;
+const SERVER_COUNT = 14;
+const REQUEST_COUNT = 1000;
+const CUSTOMER_COUNT = 5;
 const WAVE_PAUSE_MS = 3000;
 
-/** A long request, and where it runs. */
+/** A long request, and the index of the server that runs it. */
 interface Run {
   readonly content: WatchedContent;
   server: number;
@@ -27,24 +27,24 @@
   let clock: VirtualClock;
   let random: SeededRandom;
   let runs: Run[];
-  /** Count of starts of each server. */
-  let starts: number[];
+  /** Incarnation number of each server. */
+  let incarnations: number[];
 
   beforeEach(() => {
     clock = new VirtualClock();
     random = new SeededRandom(3);
-    starts = Array.from({length: SERVERS}, () => 0);
+    incarnations = Array.from({length: SERVER_COUNT}, () => 0);
     const quarantine = new Quarantine({
       clock,
       log: new SilentLog(),
       metrics: new Metrics(),
     });
-    // Whatever a run is lost at has ended.
+    // Every server that loses a run has terminated.
     const endedServers = new EndedServers(clock, async () => true);
     const senderRuns = new SenderRuns(clock);
     const options = {quarantine, endedServers, senderRuns};
-    runs = Array.from({length: REQUESTS}, (_unused, at) => {
-      const caller = `customer-${at % CUSTOMERS}`;
+    runs = Array.from({length: REQUEST_COUNT}, (_unused, at) => {
+      const caller = `customer-${at % CUSTOMER_COUNT}`;
       const body = Buffer.from(`request ${at}`);
       const content = new WatchedContent(
         options,
@@ -58,30 +58,30 @@
 
   function drawServer(down: ReadonlySet<number>): number {
     for (;;) {
-      const server = Math.floor(random.next() * SERVERS);
+      const server = Math.floor(random.next() * SERVER_COUNT);
       if (!down.has(server)) {
         return server;
       }
     }
   }
 
-  /** Ends servers; what ran there goes on at others. */
-  async function end(
+  /** Terminates servers; their runs continue at others. */
+  async function terminate(
     servers: ReadonlySet<number>,
     wasLeaving = false,
   ): Promise<void> {
     const lost = runs.filter(({server}) => servers.has(server));
-    const noted = lost.map(({content, server}) =>
+    const recorded = lost.map(({content, server}) =>
       content.addLoss({
         name: `s${server}`,
-        start: `s${server}@${starts[server]}`,
+        start: `s${server}@${incarnations[server]}`,
         address: `10.0.0.${server}:1`,
         wasLeaving,
       }),
     );
-    await Promise.all(noted);
+    await Promise.all(recorded);
     for (const server of servers) {
-      starts[server] = (starts[server] ?? 0) + 1;
+      incarnations[server] = (incarnations[server] ?? 0) + 1;
     }
     for (const run of lost) {
       run.content.endRun();
@@ -90,44 +90,44 @@
     }
   }
 
-  function countKeptAway(): number {
+  function countBlocked(): number {
     return runs.filter(
       ({content}) => content.getHeldMs() + content.getSenderHeldMs() > 0,
     ).length;
   }
 
   for (const waves of [2, 3]) {
-    it(`lose none to the quarantine in ${waves} waves of kills`, async () => {
+    it(`are not blocked after ${waves} waves of kills`, async () => {
       for (let wave = 0; wave < waves; wave++) {
-        const first = (wave * 5) % SERVERS;
+        const first = (wave * 5) % SERVER_COUNT;
         const killed = Array.from({length: 7}, (_unused, at) => first + at);
-        await end(new Set(killed.map(server => server % SERVERS)));
-        expect(countKeptAway()).to.equal(0);
+        await terminate(new Set(killed.map(server => server % SERVER_COUNT)));
+        expect(countBlocked()).to.equal(0);
         await clock.advance(WAVE_PAUSE_MS);
       }
-      expect(countKeptAway()).to.equal(0);
+      expect(countBlocked()).to.equal(0);
     });
   }
 
-  it('lose none while a data centre after the other is taken back', async () => {
+  it('are not blocked while one data centre after another is reclaimed', async () => {
     for (const centre of [0, 1, 2, 3]) {
-      const servers = [0, 1, 2, 3].map(at => (centre * 4 + at) % SERVERS);
-      await end(new Set(servers), true);
+      const servers = [0, 1, 2, 3].map(at => (centre * 4 + at) % SERVER_COUNT);
+      await terminate(new Set(servers), true);
       await clock.advance(WAVE_PAUSE_MS);
     }
-    expect(countKeptAway()).to.equal(0);
+    expect(countBlocked()).to.equal(0);
   });
 
-  it('lose none to a server that goes down and up by turns', async () => {
-    for (let turn = 0; turn < 6; turn++) {
+  it('are not blocked by a server that terminates and restarts repeatedly', async () => {
+    for (let round = 0; round < 6; round++) {
       const lost = runs.filter(({server}) => server === 0);
-      await end(new Set([0]));
-      // It is back at once, and gets some of them again.
-      for (const run of lost.slice(turn)) {
-        run.server = turn < 4 ? 0 : run.server;
+      await terminate(new Set([0]));
+      // The server restarts at once, and runs some of them again.
+      for (const run of lost.slice(round)) {
+        run.server = round < 4 ? 0 : run.server;
       }
       await clock.advance(1500);
     }
-    expect(countKeptAway()).to.equal(0);
+    expect(countBlocked()).to.equal(0);
   });
 });
