--- a/src/catalog/catalog.ts
+++ b/src/catalog/catalog.ts
@@ -1,115 +1,115 @@
-/** What may be sent to a second server, and when. */
+/** Whether a request may be sent to a second server after an attempt failed. */
 export const Repeat = {
-  /** May run on several servers. */
+  /** May be executed on several servers. */
   ANY: 'any',
-  /** May run once at most. */
+  /** May be executed at most once. */
   ONCE: 'once',
-  /** May go on at another server after the last event that was delivered. */
+  /** May resume at another server after the last delivered event. */
   RESUME: 'resume',
 } as const;
 export type Repeat = (typeof Repeat)[keyof typeof Repeat];
 
-/** A service that gets a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface WeightedService {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Which requests go where, and how they are served. */
+/** Routing rule: which requests go to which services, and how they are served. */
 export interface Route {
   readonly name: string;
-  /** Host name that callers ask for. */
+  /** Host name in the requests. */
   readonly host: string;
-  /** Beginning of the path; begins and ends with a slash. */
+  /** Path prefix; begins and ends with a slash. */
   readonly prefix: string;
   readonly repeat: Repeat;
   readonly streaming: boolean;
-  /** Longest time a caller is kept waiting, in milliseconds. */
+  /** Maximum time that a caller waits, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer has its full worth, in milliseconds. */
+  /** Latency target: time within which an answer has its full value, in milliseconds. */
   readonly targetMs: number;
-  /** Longest pause between events of a stream in time, in milliseconds. */
+  /** Target for the time between the events of a stream, in milliseconds. */
   readonly gapTargetMs: number;
-  /** Rank; 0 is the most urgent. */
+  /** Urgency rank; 0 is the most urgent. */
   readonly urgency: number;
-  /** Servers that one request may be sent to. */
+  /** Maximum number of servers to which one request may be sent. */
   readonly maxAttempts: number;
   /** Whether callers need no key. */
   readonly isPublic: boolean;
   readonly split: readonly WeightedService[];
 }
 
-/** What a service's model engines can do. */
+/** Properties of a service's model engines. */
 export interface EngineTraits {
-  /** Generations decoded at once. */
+  /** Generations decoded concurrently. */
   readonly slots: number;
-  /** Tokens of running requests and cached prompts that fit its memory. */
+  /** Tokens of running requests and cached prompts that fit in its memory. */
   readonly cacheTokens: number;
   /** Whether a running generation can be copied to another server. */
   readonly moves: boolean;
 }
 
-/** How many servers of a service may be ordered, and what they cost. */
+/** Bounds and prices for ordering servers of a service. */
 export interface Scaling {
-  /** Fewest servers per data centre, of both kinds together. */
+  /** Minimum number of servers per data centre, of both kinds together. */
   readonly min: number;
-  /** Most servers per data centre, of both kinds together. */
+  /** Maximum number of servers per data centre, of both kinds together. */
   readonly max: number;
-  /** From the order to the first request, in milliseconds. */
+  /** Time from the order to the first request, in milliseconds. */
   readonly bootMs: number;
-  /** Price of a reclaimable server as a share of an on-demand one; 1 for none. */
+  /** Price of a reclaimable server relative to an on-demand one; 1 if there are none. */
   readonly reclaimablePrice: number;
-  /** Price of a second of a server, by data centre. */
+  /** Price per server and second, by data centre. */
   readonly prices: ReadonlyMap<string, number>;
 }
 
-/** A service: what stands behind routes. */
+/** A service: a set of backend servers to which routes lead. */
 export interface Service {
   readonly name: string;
-  /** Channels that each server accepts from all callers together. */
+  /** Connections that each server accepts from all callers together. */
   readonly maxConnections: number;
-  /** Present where its servers are model engines. */
+  /** Present if its servers are model engines. */
   readonly engine?: EngineTraits;
-  /** Present where its servers can be ordered. */
+  /** Present if its servers can be ordered. */
   readonly scaling?: Scaling;
 }
 
-/** Rate that a customer may use, over all hosts together. */
+/** Rate limit of a customer, over all hosts together. */
 export interface Rate {
   /** Units per second; 0 for no limit. */
   readonly perSecond: number;
   readonly burst: number;
   /** Whether units are tokens; otherwise requests. */
   readonly inTokens: boolean;
-  /** Tokens that a request without declared tokens counts as. */
+  /** Tokens charged for a request that declares none. */
   readonly plainTokens: number;
 }
 
-/** A customer as requests are told apart by. */
+/** A customer to whom requests are attributed. */
 export interface Account {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Rank that goes before the route's; 0 is the most urgent. */
+  /** Urgency rank that takes precedence over the route's; 0 is the most urgent. */
   readonly urgency?: number;
   readonly rate: Rate;
 }
 
-/** What callers may send, and how slowly. */
+/** Size and time limits for callers. */
 export interface Limits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
-  /** Longest time for the head of a request, in milliseconds. */
+  /** Maximum time to receive the head of a request, in milliseconds. */
   readonly headerTimeoutMs: number;
-  /** Longest time a channel may stay idle, in milliseconds. */
+  /** Maximum time that a connection may be idle, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** One version of everything that operators decide about relayed requests. */
+/** One version of the operators' configuration for relayed requests. */
 export interface Catalog {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: ReadonlyMap<string, Service>;
-  /** Empty where callers need no keys. */
+  /** Empty if callers need no keys. */
   readonly accounts: readonly Account[];
   readonly limits: Limits;
 }
--- a/src/catalog/catalog_store.ts
+++ b/src/catalog/catalog_store.ts
@@ -2,35 +2,35 @@
 import {Catalog} from './catalog.js';
 import {CatalogView} from './catalog_view.js';
 
-/** Called with the catalog that has come into force. */
+/** Called with each catalog that takes effect. */
 export type CatalogListener = (view: CatalogView) => void;
 
-/** The catalog in force on this host; it never steps to a lower version. */
+/** Holds the catalog in effect on this host; its version never decreases. */
 export class CatalogStore {
   private view: CatalogView | undefined;
   private readonly listeners: CatalogListener[] = [];
 
   constructor(private readonly log: Log) {}
 
-  /** Returns the catalog in force, once one is known. */
+  /** Returns the catalog in effect; absent before any is known. */
   getView(): CatalogView | undefined {
     return this.view;
   }
 
-  /** Returns the version in force; 0 before any is known. */
+  /** Returns the version in effect; 0 before any is known. */
   getVersion(): number {
     return this.view?.catalog.version ?? 0;
   }
 
-  /** Has a function called for each catalog that comes into force. */
+  /** Adds a function that is called for each catalog that takes effect. */
   addListener(listener: CatalogListener): void {
     this.listeners.push(listener);
   }
 
   /**
-   * Puts a catalog into force if it is newer.
-   * @param catalog - What was heard.
-   * @param source - Where from, for the log.
+   * Puts a catalog into effect if it is newer.
+   * @param catalog - The received catalog.
+   * @param source - Where it came from, for the log.
    */
   offer(catalog: Catalog, source: string): void {
     const before = this.getVersion();
--- a/src/catalog/catalog_view.ts
+++ b/src/catalog/catalog_view.ts
@@ -1,6 +1,6 @@
 import {Account, Catalog, Route} from './catalog.js';
 
-/** A catalog arranged for look-ups. */
+/** A catalog with indexes for look-ups. */
 export class CatalogView {
   private readonly routesByHost = new Map<string, Route[]>();
   private readonly accountsByKey = new Map<string, Account>();
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Finds the route of a request: of its host, the longest prefix.
-   * @param host - Host name as the caller sent it; a port is ignored.
+   * Finds the route of a request: the one of its host with the longest matching prefix.
+   * @param host - Host name as the caller sent it; case and port are ignored.
    * @param path - Path, with or without a query.
    */
   getRoute(host: string, path: string): Route | undefined {
@@ -37,7 +37,7 @@
     return undefined;
   }
 
-  /** Finds the customer that holds a key. */
+  /** Finds the customer to whom a key belongs. */
   getAccount(key: string): Account | undefined {
     return this.accountsByKey.get(key);
   }
--- a/src/catalog/find_target.ts
+++ b/src/catalog/find_target.ts
@@ -2,31 +2,31 @@
 import {Account, Route} from './catalog.js';
 import {CatalogView} from './catalog_view.js';
 
-/** Where a request goes, and whose it is. */
+/** Route and customer of a request. */
 export interface Target {
   readonly route: Route;
-  /** Absent where callers need no key. */
+  /** Absent if callers need no key. */
   readonly account?: Account;
 }
 
-/** What a request says of where it goes. */
-export interface TargetQuestion {
+/** Properties of a request that determine its route and customer. */
+export interface TargetQuery {
   /** Host name as the caller sent it. */
   readonly host: string;
   readonly path: string;
-  /** Key of its customer; empty for none. */
+  /** API key of its customer; empty for none. */
   readonly key: string;
 }
 
 /**
  * Finds a request's route and customer.
- * @param view - The catalog in force.
- * @param question - What the request says.
- * @returns The target, or why the request is not taken.
+ * @param view - The catalog in effect.
+ * @param query - Properties of the request.
+ * @returns The target, or the reason why the request is refused.
  */
 export function findTarget(
   view: CatalogView,
-  {host, path, key}: TargetQuestion,
+  {host, path, key}: TargetQuery,
 ): Target | Problem {
   const route = view.getRoute(host, path);
   if (route === undefined) {
--- a/test/catalog/catalog_test.ts
+++ b/test/catalog/catalog_test.ts
@@ -24,7 +24,7 @@
 describe('catalog', () => {
   const log = new SilentLog();
 
-  it('finds the longest prefix of a host, whatever its case or port', () => {
+  it('finds the longest prefix of a host, ignoring its case and port', () => {
     const store = new CatalogStore(log);
     store.offer(
       decodeConfig(createText(1, ['/a/', '/a/b/'])).unwrapOrElse(mistake => {
@@ -43,7 +43,7 @@
     expect(view?.getAccount('')).to.equal(undefined);
   });
 
-  it('never steps to a lower version', () => {
+  it('never returns to a lower version', () => {
     const store = new CatalogStore(log);
     for (const version of [5, 3]) {
       decodeConfig(createText(version, ['/a/'])).map(catalog =>
@@ -53,7 +53,7 @@
     expect(store.getVersion()).to.equal(5);
   });
 
-  it('tells what may go on from what may run once', () => {
+  it('distinguishes resumable requests from those that may run once', () => {
     const catalog = decodeConfig(createText(1, ['/a/', '/b/']));
     const repeats = catalog.map(({routes}) => routes.map(r => r.repeat));
     expect(repeats.unwrapOr([])).to.deep.equal([Repeat.RESUME, Repeat.ONCE]);
