--- a/src/buying/buyer.ts
+++ b/src/buying/buyer.ts
@@ -7,7 +7,7 @@
 import {ServiceWork} from './service_work.js';
 import {CentreServers, planFleet} from './plan_fleet.js';
 
-/** An order for servers of one kind in one data centre; the count is absolute. */
+/** An order for servers of one kind in one data centre; `count` is the total to have. */
 export interface ServerOrder {
   readonly service: string;
   readonly dataCentre: string;
@@ -15,24 +15,24 @@
   readonly reclaimable: boolean;
 }
 
-/** How an order went. */
+/** Outcome of an order. */
 export const OrderOutcome = {
   TAKEN: 'taken',
-  /** None are to be had there now. */
+  /** None are available there now. */
   REFUSED: 'refused',
-  /** No usable answer came; ordering again is harmless. */
+  /** No usable answer was received; repeating the order is harmless. */
   UNKNOWN: 'unknown',
 } as const;
 export type OrderOutcome = (typeof OrderOutcome)[keyof typeof OrderOutcome];
 
-/** Gives an order under a fencing number. */
+/** Sends an order with a fencing token. */
 export type OrderServers = (
   order: ServerOrder,
   fence: number,
 ) => Promise<OrderOutcome>;
 
-/** What the buyer works with. */
-export interface BuyerOptions {
+/** Dependencies of the provisioner. */
+export interface ProvisionerOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly duty: Duty;
@@ -42,37 +42,41 @@
   readonly order: OrderServers;
 }
 
-/** What was last ordered of one kind in one data centre. */
+/** The last order for one kind in one data centre. */
 interface LastOrder {
   readonly count: number;
   readonly sentMs: number;
 }
 
-const POLL_MS = 500;
-/** The same at a host that may not order, which only watches the work, in ms. */
-const WATCH_MS = 1000;
-/** Time beyond the boot after which servers that did not come are ordered again. */
+/** Interval between rounds at the holder of the duty, in milliseconds. */
+const POLL_INTERVAL_MS = 500;
+/** The same at a host that may not order and only measures the load, in milliseconds. */
+const STANDBY_POLL_INTERVAL_MS = 1000;
+/** Time after the boot time until missing servers are ordered again, in milliseconds. */
 const BOOT_MARGIN_MS = 1500;
-/** Pause after a refusal, in milliseconds. */
-const REFUSED_MS = 2500;
+/** Backoff after an order that was not taken, in milliseconds. */
+const REFUSAL_BACKOFF_MS = 2500;
 
-/** Orders the servers of every service that can be ordered, as duty holder. */
+/** As holder of the duty, orders servers for each service that has a scaling policy. */
 export class Buyer {
   private readonly orders = new Map<string, LastOrder>();
   private readonly refusedUntilMs = new Map<string, number>();
   private readonly needs: NeedMeter;
 
-  constructor(private readonly options: BuyerOptions) {
+  constructor(private readonly options: ProvisionerOptions) {
     this.needs = new NeedMeter(options.clock);
   }
 
-  /** Works until aborted. */
+  /** Checks and orders servers until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const {clock, duty} = this.options;
-      await clock.sleep(duty.isHeld() ? POLL_MS : WATCH_MS, signal);
+      await clock.sleep(
+        duty.isHeld() ? POLL_INTERVAL_MS : STANDBY_POLL_INTERVAL_MS,
+        signal,
+      );
       for (const service of this.listServices()) {
-        await this.buy(service);
+        await this.provision(service);
       }
     }
   }
@@ -84,7 +88,7 @@
     );
   }
 
-  private async buy(service: Service): Promise<void> {
+  private async provision(service: Service): Promise<void> {
     const {scaling} = service;
     const centres = this.listCentres(service);
     const present = centres.reduce(
@@ -95,7 +99,7 @@
     const need = this.needs.getNeed(service, work, present);
     const mayAct = this.options.duty.getFence() !== undefined;
     if (scaling === undefined || !mayAct || !this.needs.isReady()) {
-      // Only the holder of the duty acts; what it learnt before is forgotten.
+      // Only the holder of the duty orders; orders of an earlier tenure are discarded.
       this.orders.clear();
       return;
     }
@@ -149,19 +153,19 @@
       outcome,
     });
     if (outcome !== OrderOutcome.TAKEN) {
-      this.refusedUntilMs.set(key, nowMs + REFUSED_MS);
+      this.refusedUntilMs.set(key, nowMs + REFUSAL_BACKOFF_MS);
       this.orders.delete(key);
     }
   }
 
-  /** An order is due when it is new, or when what it asked for never came. */
+  /** An order is due when it is new, or when the servers it ordered did not appear. */
   private isDue(
     key: string,
     order: ServerOrder,
     present: number,
     bootMs: number,
   ): boolean {
-    if (order.count < present && !this.needs.knowsWork()) {
+    if (order.count < present && !this.needs.mayRelease()) {
       return false;
     }
     const last = this.orders.get(key);
--- a/src/buying/decide_buying.ts
+++ b/src/buying/decide_buying.ts
@@ -1,17 +1,17 @@
-/** A kind of host that can be bought: a machine class in a zone. */
+/** A kind of host that can be ordered: a machine class in a zone. */
 export interface Offer {
   readonly zone: string;
   readonly dataCentre: string;
   readonly machineClass: string;
-  /** Price of an hour of a reclaimable host. */
+  /** Price of a reclaimable host per hour. */
   readonly reclaimablePrice: number;
-  /** Price of an hour of an on-demand host. */
+  /** Price of an on-demand host per hour. */
   readonly onDemandPrice: number;
-  /** Reclaims per host and hour seen lately. */
+  /** Recently observed reclaims per host and hour. */
   readonly reclaimsPerHour: number;
-  /** Generations a host of this class decodes at once. */
+  /** Generations that a host of this class decodes concurrently. */
   readonly capacity: number;
-  /** Until when starts are not asked for, after a refusal; monotonic ms. */
+  /** End of the backoff after a refused start, monotonic milliseconds. */
   readonly refusedUntilMs: number;
 }
 
@@ -24,18 +24,18 @@
   readonly count: number;
 }
 
-/** What is needed. */
+/** Required capacity. */
 export interface Demand {
-  /** Generations that must be decoded at once, for the latency target. */
+  /** Generations that must be decoded concurrently to meet the latency target. */
   readonly capacity: number;
-  /** Share of it that must stand when the worst data centre is taken back. */
+  /** Fraction that must remain if the data centre with the most capacity is reclaimed. */
   readonly floorShare: number;
-  /** Cost of one reclaim: tokens recomputed and time past the target. */
+  /** Cost of one reclaim: recomputed tokens and time past the latency target. */
   readonly reclaimCost: number;
 }
 
-/** Hosts to start. */
-export interface Purchase {
+/** A host to start. */
+export interface HostOrder {
   readonly zone: string;
   readonly dataCentre: string;
   readonly machineClass: string;
@@ -43,27 +43,27 @@
   readonly reason: string;
 }
 
-/** Longest list of starts decided at once. */
-const MAX_PURCHASES = 64;
+/** Maximum number of hosts ordered at once. */
+const MAX_ORDERS = 64;
 
 /**
  * Decides which hosts to start.
  *
- * A reclaimable host costs its price and what its expected reclaims cost; the
- * cheapest kind per generation is bought first, spread so that no data centre
- * holds more than its share. On-demand hosts are bought only for the floor
- * that must stand when the data centre with most reclaimable hosts goes.
- * @param demand - What is needed.
- * @param offers - What can be bought.
- * @param holdings - What runs or is being started.
- * @param nowMs - Monotonic time.
+ * The cost of a reclaimable host is its price plus the cost of its expected reclaims. The
+ * cheapest kind per generation is ordered first, spread over the data centres, since
+ * capacity in a data centre raises its cost. On-demand hosts are ordered only for the
+ * floor that must remain if the data centre with the most reclaimable capacity is lost.
+ * @param demand - Required capacity.
+ * @param offers - Kinds of hosts that can be ordered.
+ * @param holdings - Hosts that run or are being started.
+ * @param nowMs - Monotonic time, in milliseconds.
  */
 export function decideBuying(
   demand: Demand,
   offers: readonly Offer[],
   holdings: readonly Holding[],
   nowMs: number,
-): Purchase[] {
+): HostOrder[] {
   const open = offers.filter(offer => offer.refusedUntilMs <= nowMs);
   const capacityOf = createCapacityLookup(offers);
   const held = new Map<string, number>();
@@ -78,8 +78,8 @@
       onDemand += capacity;
     }
   }
-  const purchases: Purchase[] = [];
-  while (purchases.length < MAX_PURCHASES) {
+  const orders: HostOrder[] = [];
+  while (orders.length < MAX_ORDERS) {
     const worst = Math.max(0, ...held.values());
     const survives = reclaimable + onDemand - worst;
     const lacksFloor = survives < demand.capacity * demand.floorShare;
@@ -92,26 +92,29 @@
       break;
     }
     // Another reclaimable host elsewhere raises the floor as well, and is
-    // cheaper, unless it would go into the data centre that is already worst.
-    const raises = (held.get(offer.dataCentre) ?? 0) + offer.capacity <= worst;
-    const buysOnDemand = !lacksCapacity && lacksFloor && !raises;
-    if (buysOnDemand) {
+    // cheaper, unless it goes into the data centre with the most capacity.
+    const raisesFloor =
+      (held.get(offer.dataCentre) ?? 0) + offer.capacity <= worst;
+    const ordersOnDemand = !lacksCapacity && lacksFloor && !raisesFloor;
+    if (ordersOnDemand) {
       const cheapest = open.reduce((a, b) =>
         b.onDemandPrice / b.capacity < a.onDemandPrice / a.capacity ? b : a,
       );
       onDemand += cheapest.capacity;
-      purchases.push(toPurchase(cheapest, false, 'floor-for-lost-data-centre'));
+      orders.push(
+        createHostOrder(cheapest, false, 'floor-for-lost-data-centre'),
+      );
       continue;
     }
     reclaimable += offer.capacity;
     addTo(held, offer.dataCentre, offer.capacity);
     const reason = lacksCapacity ? 'cheapest-per-generation' : 'spread';
-    purchases.push(toPurchase(offer, true, reason));
+    orders.push(createHostOrder(offer, true, reason));
   }
-  return purchases;
+  return orders;
 }
 
-/** Cheapest kind per generation; a data centre that holds more costs more. */
+/** Chooses the cheapest kind per generation; capacity in a data centre raises its cost. */
 function chooseOffer(
   demand: Demand,
   offers: readonly Offer[],
@@ -130,7 +133,7 @@
   return best;
 }
 
-/** Expected cost of an hour of a reclaimable host. */
+/** Returns the expected cost of a reclaimable host per hour, including reclaims. */
 export function getHourlyCost(offer: Offer, demand: Demand): number {
   return offer.reclaimablePrice + offer.reclaimsPerHour * demand.reclaimCost;
 }
@@ -152,11 +155,11 @@
   sums.set(dataCentre, (sums.get(dataCentre) ?? 0) + capacity);
 }
 
-function toPurchase(
+function createHostOrder(
   offer: Offer,
   reclaimable: boolean,
   reason: string,
-): Purchase {
+): HostOrder {
   const {zone, dataCentre, machineClass} = offer;
   return {zone, dataCentre, machineClass, reclaimable, reason};
 }
--- a/src/buying/need_meter.ts
+++ b/src/buying/need_meter.ts
@@ -2,52 +2,52 @@
 import {Clock} from '../time/index.js';
 import {ServiceWork} from './service_work.js';
 
-/** Servers that a service's work needs. */
+/** Number of servers that a service's load requires. */
 export interface Need {
-  /** Servers at which short requests begin in time behind long ones. */
+  /** Servers at which short requests still begin in time behind long ones. */
   readonly needed: number;
-  /** Servers without which the work piles up. */
+  /** Servers below which the work accumulates. */
   readonly least: number;
-  /** Servers up to which none that is there is given back. */
+  /** Number of servers up to which none that exists is released. */
   readonly kept: number;
 }
 
-/** Work of one service at a moment, in servers that are busy all the time. */
+/** Load of one service at one time, in fully busy servers. */
 interface Sample {
   readonly atMs: number;
   readonly busy: number;
 }
 
-/** Prompt tokens an engine computes per second, as `Fleet` assumes. */
-const PREFILL_PER_SECOND = 100_000;
-/** Share of an engine's time that prompts may take for answers to be in time. */
-const COMFORT_SHARE = 0.28;
-/** Share of an engine's time that prompts may take for a while. */
-const LEAST_SHARE = 0.42;
-/** Share of an engine's places that count as all of its time. */
-const PLACES_SHARE = 1.2;
-/** Time for which a need is remembered, in milliseconds. */
-const MEMORY_MS = 20_000;
-/** Time for which the least need is remembered, in milliseconds. */
-const LEAST_MEMORY_MS = 6000;
-/** Time from the start after which servers are ordered, in milliseconds. */
-const READY_MS = 3000;
-/** Time from the start in which servers become known, in milliseconds. */
-const LEARN_MS = 6000;
-/** Time for which work is watched before servers are given back, in ms. */
-const WATCHED_MS = 8000;
+/** Prompt tokens that an engine computes per second; `Fleet` assumes the same. */
+const PREFILL_TOKENS_PER_S = 100_000;
+/** Share of an engine's time that prompts may take if answers are to be in time. */
+const TARGET_BUSY_SHARE = 0.28;
+/** Share of an engine's time that prompts may take for a short time. */
+const MAX_BUSY_SHARE = 0.42;
+/** Requests in flight, relative to the slots, that count as a fully busy engine. */
+const FULL_SLOTS_SHARE = 1.2;
+/** Time over which the maximum load determines the servers needed, in milliseconds. */
+const NEED_WINDOW_MS = 20_000;
+/** Time over which the maximum load determines the least servers, in milliseconds. */
+const LEAST_WINDOW_MS = 6000;
+/** Time after the start from which servers are ordered without load, in milliseconds. */
+const ORDER_DELAY_MS = 3000;
+/** Time after the start in which existing servers are discovered, in milliseconds. */
+const DISCOVERY_MS = 6000;
+/** Time for which the load is measured before servers are released, in milliseconds. */
+const RELEASE_DELAY_MS = 8000;
 /**
- * Share of the servers of the first seconds that always stays, since operators
- * sized those for more than what is seen at a quiet time.
+ * Share of the servers of the first seconds that is always kept, since operators
+ * sized those for more than the load at a quiet time.
  */
 const KEPT_SHARE = 1;
-/** Places assumed of a server whose service does not say. */
+/** Slots assumed for a server whose service does not state them. */
 const DEFAULT_SLOTS = 8;
 
-/** Works out how many servers a service's work needs. */
+/** Determines how many servers the load of a service requires. */
 export class NeedMeter {
   private readonly samples = new Map<string, Sample[]>();
-  private readonly first = new Map<string, number>();
+  private readonly baselines = new Map<string, number>();
   private readonly startMs: number;
   private hasSeenWork = false;
 
@@ -55,46 +55,48 @@
     this.startMs = clock.monotonicMs();
   }
 
-  /** Tells whether servers may be ordered: some that there were are known. */
+  /** Returns whether servers may be ordered: load was seen, or discovery had time. */
   isReady(): boolean {
-    return this.hasSeenWork || this.getAgeMs() > READY_MS;
+    return this.hasSeenWork || this.getAgeMs() > ORDER_DELAY_MS;
   }
 
   /**
-   * Tells whether the work was watched for long enough to give servers back: a
+   * Returns whether the load was measured for long enough to release servers: a
    * process that has just started sees little of it.
    */
-  knowsWork(): boolean {
-    return this.getAgeMs() > WATCHED_MS;
+  mayRelease(): boolean {
+    return this.getAgeMs() > RELEASE_DELAY_MS;
   }
 
   /**
-   * Returns the servers needed, by the most that the last seconds asked for.
-   * Before any work was seen the servers that are there stay.
+   * Returns the servers needed for the maximum load of the last seconds. The servers
+   * that were discovered before any load was seen are kept.
    * @param service - The service.
-   * @param work - Its work now.
-   * @param present - Its servers now.
+   * @param work - Its current load.
+   * @param present - Its current number of servers.
    */
   getNeed(service: Service, work: ServiceWork, present: number): Need {
     const nowMs = this.clock.monotonicMs();
     const slots = service.engine?.slots ?? DEFAULT_SLOTS;
     const busy = Math.max(
-      work.prefillPerSecond / PREFILL_PER_SECOND,
-      work.running / (slots * PLACES_SHARE),
+      work.prefillPerSecond / PREFILL_TOKENS_PER_S,
+      work.running / (slots * FULL_SLOTS_SHARE),
     );
-    const first = this.getFirst(service.name, present);
+    const first = this.getBaseline(service.name, present);
     this.hasSeenWork ||= busy > 0;
     const samples = this.samples.get(service.name) ?? [];
-    const recent = samples.filter(sample => sample.atMs > nowMs - MEMORY_MS);
+    const recent = samples.filter(
+      sample => sample.atMs > nowMs - NEED_WINDOW_MS,
+    );
     recent.push({atMs: nowMs, busy});
     this.samples.set(service.name, recent);
-    const most = getMost(recent, nowMs - MEMORY_MS);
+    const most = getMost(recent, nowMs - NEED_WINDOW_MS);
     const kept = first * KEPT_SHARE;
     return {
       kept,
-      // What a limit keeps from servers is not seen as work.
-      needed: Math.max(kept, most / COMFORT_SHARE) + work.limited,
-      least: getMost(recent, nowMs - LEAST_MEMORY_MS) / LEAST_SHARE,
+      // Requests that a limit keeps away from servers are not measured as load.
+      needed: Math.max(kept, most / TARGET_BUSY_SHARE) + work.limited,
+      least: getMost(recent, nowMs - LEAST_WINDOW_MS) / MAX_BUSY_SHARE,
     };
   }
 
@@ -102,13 +104,13 @@
     return this.clock.monotonicMs() - this.startMs;
   }
 
-  private getFirst(service: string, present: number): number {
-    const first = this.first.get(service) ?? 0;
-    if (this.hasSeenWork || this.getAgeMs() > LEARN_MS) {
-      return first;
+  private getBaseline(service: string, present: number): number {
+    const baseline = this.baselines.get(service) ?? 0;
+    if (this.hasSeenWork || this.getAgeMs() > DISCOVERY_MS) {
+      return baseline;
     }
-    const most = Math.max(first, present);
-    this.first.set(service, most);
+    const most = Math.max(baseline, present);
+    this.baselines.set(service, most);
     return most;
   }
 }
--- a/src/buying/plan_fleet.ts
+++ b/src/buying/plan_fleet.ts
@@ -3,27 +3,27 @@
 /** Servers of one service in one data centre, by kind. */
 export interface CentreServers {
   readonly dataCentre: string;
-  /** Reclaimable servers that take work. */
+  /** Reclaimable servers that accept requests. */
   readonly reclaimable: number;
-  /** On-demand servers that take work. */
+  /** On-demand servers that accept requests. */
   readonly onDemand: number;
 }
 
-/** Counts to order in one data centre; both are absolute. */
+/** Servers to have in one data centre; both counts are totals, not differences. */
 export interface CentreOrder {
   readonly dataCentre: string;
   readonly reclaimable: number;
   readonly onDemand: number;
 }
 
-/** What a plan depends on. */
-export interface FleetQuestion {
+/** Inputs of a plan. */
+export interface FleetRequirements {
   readonly scaling: Scaling;
-  /** Servers at which the work is done comfortably, over all data centres. */
+  /** Servers needed for the load with a margin, over all data centres. */
   readonly needed: number;
-  /** Servers without which the work is not done in time. */
+  /** Servers below which the work is not done in time. */
   readonly least: number;
-  /** Servers up to which on-demand ones that are there are not given back. */
+  /** Number of servers up to which existing on-demand ones are not released. */
   readonly kept: number;
   readonly centres: readonly CentreServers[];
 }
@@ -31,15 +31,15 @@
 /**
  * Plans the servers of a service.
  *
- * Reclaimable servers cost a fraction, so they carry the work, spread over the
- * data centres so that one that is taken back leaves most. On-demand servers
- * stand in: they are ordered only while too few reclaimable ones serve for the
- * work to be done, and given back only once these serve.
- * @param question - What is needed and what there is.
+ * Reclaimable servers cost a fraction of on-demand ones, so they take the load, spread
+ * over the data centres so that most remain if one data centre is reclaimed. On-demand
+ * servers are substitutes: they are ordered only while too few reclaimable servers serve
+ * the load, and released only once enough of these serve.
+ * @param requirements - Required and existing servers.
  */
-export function planFleet(question: FleetQuestion): CentreOrder[] {
-  const {scaling, centres} = question;
-  const needed = clampTotal(question);
+export function planFleet(requirements: FleetRequirements): CentreOrder[] {
+  const {scaling, centres} = requirements;
+  const needed = clampTotal(requirements);
   const cheapest = [...centres].sort(
     (a, b) => getPrice(scaling, a) - getPrice(scaling, b),
   );
@@ -50,11 +50,11 @@
   const serving = countServing(centres, reclaimable);
   const present = centres.reduce((sum, centre) => sum + centre.onDemand, 0);
   const missing = Math.max(
-    Math.min(needed, Math.ceil(question.least)) - serving,
-    Math.min(present, Math.ceil(question.kept) - serving),
+    Math.min(needed, Math.ceil(requirements.least)) - serving,
+    Math.min(present, Math.ceil(requirements.kept) - serving),
   );
   const onDemand = spreadOnDemand(cheapest, missing, scaling);
-  // Of too few none is given back, only for being unevenly spread.
+  // With too few servers, none is released merely because they are spread unevenly.
   const isShort = countReclaimable(centres) <= needed;
   const here = new Map(
     centres.map(centre => [centre.dataCentre, centre.reclaimable]),
@@ -73,7 +73,7 @@
   });
 }
 
-function clampTotal({scaling, needed, centres}: FleetQuestion): number {
+function clampTotal({scaling, needed, centres}: FleetRequirements): number {
   const least = scaling.min * centres.length;
   const most = scaling.max * centres.length;
   return Math.min(most, Math.max(least, Math.ceil(needed)));
@@ -87,7 +87,7 @@
   return scaling.prices.get(centre.dataCentre) ?? 1;
 }
 
-/** Spreads servers evenly, the rest to the cheapest data centres. */
+/** Spreads servers evenly; the remainder goes to the cheapest data centres. */
 function spread(
   cheapest: readonly CentreServers[],
   needed: number,
@@ -111,7 +111,7 @@
   return counts;
 }
 
-/** Counts the reclaimable servers that serve, of those that are wanted. */
+/** Counts the reclaimable servers that serve, at most those wanted per data centre. */
 function countServing(
   centres: readonly CentreServers[],
   wanted: ReadonlyMap<string, number>,
@@ -124,7 +124,7 @@
   return serving;
 }
 
-/** Puts on-demand servers first where they already stand, then where cheap. */
+/** Keeps existing on-demand servers first, then adds the rest where they are cheapest. */
 function spreadOnDemand(
   cheapest: readonly CentreServers[],
   missing: number,
@@ -133,8 +133,8 @@
   const counts = new Map<string, number>();
   let left = Math.max(0, missing);
   for (const centre of cheapest) {
-    const room = Math.max(0, scaling.max - centre.reclaimable);
-    const kept = Math.min(left, centre.onDemand, room);
+    const capacity = Math.max(0, scaling.max - centre.reclaimable);
+    const kept = Math.min(left, centre.onDemand, capacity);
     counts.set(centre.dataCentre, kept);
     left -= kept;
   }
--- a/src/buying/start_backoff.ts
+++ b/src/buying/start_backoff.ts
@@ -1,34 +1,34 @@
-/** First time for which a refused kind of host is not asked for, in ms. */
+/** Backoff after the first refusal of a kind of host, in milliseconds. */
 const FIRST_BACKOFF_MS = 15_000;
 const MAX_BACKOFF_MS = 600_000;
 
-/** Refusals of one kind of host. */
+/** Consecutive refusals of one kind of host. */
 interface Refusals {
-  readonly inRow: number;
+  readonly consecutive: number;
   readonly untilMs: number;
 }
 
-/** Backs off by zone and class after refused starts, not altogether. */
+/** Exponential backoff after refused starts, separate for each zone and machine class. */
 export class StartBackoff {
   private readonly refusals = new Map<string, Refusals>();
 
-  /** Returns until when a kind is not asked for; monotonic ms. */
+  /** Returns the end of the backoff for a kind of host, in monotonic milliseconds. */
   getRefusedUntilMs(zone: string, machineClass: string): number {
     return this.refusals.get(`${zone}/${machineClass}`)?.untilMs ?? 0;
   }
 
-  /** Counts a refused start. */
+  /** Records a refused start, which doubles the backoff. */
   addRefusal(zone: string, machineClass: string, nowMs: number): void {
     const key = `${zone}/${machineClass}`;
-    const inRow = (this.refusals.get(key)?.inRow ?? 0) + 1;
+    const inRow = (this.refusals.get(key)?.consecutive ?? 0) + 1;
     const spanMs = Math.min(
       MAX_BACKOFF_MS,
       FIRST_BACKOFF_MS * 2 ** (inRow - 1),
     );
-    this.refusals.set(key, {inRow, untilMs: nowMs + spanMs});
+    this.refusals.set(key, {consecutive: inRow, untilMs: nowMs + spanMs});
   }
 
-  /** Counts a start that was granted. */
+  /** Records a granted start, which ends the backoff. */
   addStart(zone: string, machineClass: string): void {
     this.refusals.delete(`${zone}/${machineClass}`);
   }
--- a/test/buying/buyer_test.ts
+++ b/test/buying/buyer_test.ts
@@ -123,7 +123,7 @@
     void buyer.run(stopped.signal);
   }
 
-  it('replaces the servers a day begins with by reclaimable ones', async () => {
+  it('replaces the initial on-demand servers with reclaimable ones', async () => {
     for (const dataCentre of CENTRES) {
       addServers(dataCentre, 2, false);
     }
@@ -136,11 +136,11 @@
       addServers(dataCentre, 2, true);
     }
     await clock.advance(3000);
-    const back = orders.filter(order => !order.reclaimable);
-    expect(back.map(order => order.count)).to.deep.equal([0, 0, 0, 0]);
+    const released = orders.filter(order => !order.reclaimable);
+    expect(released.map(order => order.count)).to.deep.equal([0, 0, 0, 0]);
   });
 
-  it('counts on the servers that become known late, too', async () => {
+  it('includes servers that are discovered later', async () => {
     addServers('a', 1, false);
     start();
     await clock.advance(4500);
@@ -157,7 +157,7 @@
     expect(ordered.reduce((sum, count) => sum + count, 0)).to.equal(7);
   });
 
-  it('orders a server in place of each that limits what it takes', async () => {
+  it('orders a replacement for each server that states a rate limit', async () => {
     for (const dataCentre of CENTRES) {
       addServers(dataCentre, 2, true);
     }
@@ -171,15 +171,15 @@
     expect(ordered.map(({count}) => count)).to.deep.equal([3, 3, 3]);
   });
 
-  describe('a holder that was killed under load and starts again', () => {
-    it('gives no server back before it knows the work', async () => {
+  describe('a duty holder that was killed under load and restarts', () => {
+    it('releases no server before it has measured the load', async () => {
       for (const dataCentre of CENTRES) {
         addServers(dataCentre, 1, true);
       }
       work = {prefillPerSecond: 10_000, running: 1, limited: 0};
       start();
       await clock.advance(6500);
-      // The other servers become known late, and so does the work.
+      // The other servers are discovered with a delay, and so is the load.
       for (const dataCentre of CENTRES) {
         addServers(dataCentre, 4, true);
       }
--- a/test/buying/decide_buying_test.ts
+++ b/test/buying/decide_buying_test.ts
@@ -18,31 +18,31 @@
 
   const demand = {capacity: 128, floorShare: 0.75, reclaimCost: 0.1};
 
-  it('spreads reclaimable hosts so that the floor stands without any one data centre', () => {
+  it('spreads reclaimable hosts so that the floor holds without any one data centre', () => {
     const offers = [0, 1, 2, 3].map(centre => offer(centre));
-    const bought = decideBuying(demand, offers, [], 0);
+    const ordered = decideBuying(demand, offers, [], 0);
     for (const {dataCentre} of offers) {
-      const left = bought.filter(item => item.dataCentre !== dataCentre);
+      const left = ordered.filter(item => item.dataCentre !== dataCentre);
       expect(left.length * 16).to.be.at.least(96);
     }
-    expect(bought.every(item => item.reclaimable)).to.equal(true);
+    expect(ordered.every(item => item.reclaimable)).to.equal(true);
   });
 
-  it('buys on demand only where nothing reclaimable can hold the floor', () => {
-    const bought = decideBuying(demand, [offer(0)], [], 0);
-    const onDemand = bought.filter(item => !item.reclaimable);
+  it('orders on-demand hosts only if reclaimable ones cannot hold the floor', () => {
+    const ordered = decideBuying(demand, [offer(0)], [], 0);
+    const onDemand = ordered.filter(item => !item.reclaimable);
     expect(onDemand.length * 16).to.be.at.least(96);
     expect(onDemand[0]?.reason).to.equal('floor-for-lost-data-centre');
   });
 
-  it('passes over a kind whose start was refused, and no other', () => {
+  it('skips a kind of host whose start was refused, and no other', () => {
     const offers = [offer(0, {refusedUntilMs: 1000}), offer(1), offer(2)];
     const zones = decideBuying(demand, offers, [], 500).map(item => item.zone);
     expect(zones).to.not.include('zone-0');
     expect(zones).to.include('zone-1');
   });
 
-  it('counts what runs already, so that a need is not paid for twice', () => {
+  it('includes hosts that already run, so that none is ordered twice', () => {
     const offers = [0, 1, 2, 3].map(centre => offer(centre));
     const held = decideBuying(demand, offers, [], 0).map(item => ({
       ...item,
@@ -51,15 +51,18 @@
     expect(decideBuying(demand, offers, held, 0)).to.eql([]);
   });
 
-  it('weighs the cost of reclaims against the price', () => {
-    const cheapButTaken = offer(0, {reclaimablePrice: 0.2, reclaimsPerHour: 5});
-    const [first] = decideBuying(demand, [cheapButTaken, offer(1)], [], 0);
+  it('includes the cost of reclaims in the price', () => {
+    const cheapButReclaimed = offer(0, {
+      reclaimablePrice: 0.2,
+      reclaimsPerHour: 5,
+    });
+    const [first] = decideBuying(demand, [cheapButReclaimed, offer(1)], [], 0);
     expect(first?.zone).to.equal('zone-1');
   });
 });
 
 describe('StartBackoff', () => {
-  it('doubles with every refusal in a row, for that kind alone', () => {
+  it('doubles with each consecutive refusal, for that kind of host only', () => {
     const backoff = new StartBackoff();
     backoff.addRefusal('z', 'c', 0);
     expect(backoff.getRefusedUntilMs('z', 'c')).to.equal(15_000);
--- a/test/buying/plan_fleet_test.ts
+++ b/test/buying/plan_fleet_test.ts
@@ -48,44 +48,44 @@
     };
   }
 
-  describe('a day that begins with on-demand servers', () => {
-    it('orders reclaimable ones beside them', () => {
+  describe('a service that starts with on-demand servers', () => {
+    it('gets reclaimable servers in addition', () => {
       const orders = plan(8, 0, [0, 0, 0, 0], [2, 2, 2, 2]);
       expect(orders.reclaimable).to.deep.equal([2, 2, 2, 2]);
       expect(orders.onDemand).to.deep.equal([2, 2, 2, 2]);
     });
 
-    it('gives them back once the reclaimable ones serve', () => {
+    it('releases them once the reclaimable servers serve', () => {
       const orders = plan(8, 2, [2, 2, 2, 2], [2, 2, 2, 2]);
       expect(orders.onDemand).to.deep.equal([0, 0, 0, 0]);
     });
   });
 
-  describe('a data centre that is taken back', () => {
-    it('is not replaced while the rest does the work', () => {
+  describe('a data centre that is reclaimed', () => {
+    it('is not replaced while the others can serve the load', () => {
       const orders = plan(8, 4, [2, 0, 2, 2], [0, 0, 0, 0]);
       expect(orders.onDemand).to.deep.equal([0, 0, 0, 0]);
       expect(orders.reclaimable).to.deep.equal([2, 2, 2, 2]);
     });
 
-    it('has no server of the others given back while it lacks its own', () => {
+    it('causes no release of servers in the others while its own are missing', () => {
       const orders = plan(9, 4, [3, 0, 3, 3], [0, 0, 0, 0]);
       expect(orders.reclaimable).to.deep.equal([3, 3, 3, 3]);
     });
 
-    it('is replaced by on-demand servers where the rest is too few', () => {
+    it('is replaced by on-demand servers if the others are too few', () => {
       const orders = plan(8, 7.5, [2, 0, 2, 2], [0, 0, 0, 0]);
       expect(orders.onDemand).to.deep.equal([0, 1, 0, 1]);
     });
   });
 
   describe('bounds', () => {
-    it('keep each data centre at the least, the rest where it is cheap', () => {
+    it('keep each data centre at the minimum, the rest where it is cheapest', () => {
       const orders = plan(5, 0, [0, 0, 0, 0], [0, 0, 0, 0]);
       expect(orders.reclaimable).to.deep.equal([1, 2, 1, 1]);
     });
 
-    it('are not passed by both kinds together', () => {
+    it('are not exceeded by both kinds together', () => {
       const orders = plan(40, 40, [0, 0, 0, 0], [4, 4, 4, 4]);
       for (const [index, count] of orders.reclaimable.entries()) {
         expect(count + (orders.onDemand[index] ?? 0)).to.be.at.most(4);
@@ -93,15 +93,15 @@
     });
   });
 
-  describe('reclaimable servers that cannot be had anywhere', () => {
-    it('leave room for on-demand servers in their place', () => {
+  describe('reclaimable servers that are not available', () => {
+    it('leave capacity for on-demand servers as substitutes', () => {
       const orders = plan(16, 13, [3, 0, 0, 0], [0, 0, 0, 0]);
       const onDemand = orders.onDemand.reduce((sum, count) => sum + count, 0);
       expect(onDemand).to.equal(10);
     });
   });
 
-  it('orders on-demand servers where there are no others', () => {
+  it('orders on-demand servers if there are no reclaimable ones', () => {
     const orders = plan(8, 8, [0, 0, 0, 0], [2, 2, 2, 2], {
       reclaimablePrice: 1,
     });
