--- a/src/usage/host_usage.ts
+++ b/src/usage/host_usage.ts
@@ -1,19 +1,20 @@
 import {UsageCounts, WindowUsage} from './usage_ledger.js';
 
-/** Windows remembered of other hosts. */
-const KEPT_WINDOWS = 8;
+/** Maximum number of windows kept. */
+const MAX_WINDOWS = 8;
 
 /**
- * What every start of every host has told of its windows. Counts only rise, so
- * the highest heard is the truest; a start that has ended keeps what it said.
+ * Usage counts that each incarnation of each host has reported, by window. Counts only
+ * increase, so the highest reported count is the most recent. Counts of terminated
+ * incarnations are kept.
  */
 export class HostUsage {
   private readonly windows = new Map<number, Map<string, UsageCounts>>();
 
   /**
-   * Takes in what a host told.
-   * @param origin - Host and start that counted.
-   * @param usages - Its windows.
+   * Merges the counts that a host reports.
+   * @param origin - Host and incarnation that counted.
+   * @param usages - Its counts by window.
    */
   add(origin: string, usages: readonly WindowUsage[]): void {
     for (const {window, counts} of usages) {
@@ -25,7 +26,7 @@
     this.trim();
   }
 
-  /** Lists what each origin told of a window. */
+  /** Lists the counts of each origin for a window. */
   list(window: number): (readonly [origin: string, counts: UsageCounts])[] {
     return [...(this.windows.get(window) ?? [])];
   }
@@ -44,7 +45,7 @@
   private trim(): void {
     const newest = Math.max(...this.windows.keys());
     for (const window of this.windows.keys()) {
-      if (window <= newest - KEPT_WINDOWS) {
+      if (window <= newest - MAX_WINDOWS) {
         this.windows.delete(window);
       }
     }
--- a/src/usage/index.ts
+++ b/src/usage/index.ts
@@ -1,4 +1,4 @@
-/** Usage: what each customer's requests came to, reported once per window. */
+/** Usage: counts of each customer's requests, reported once per window. */
 export {HostUsage} from './host_usage.js';
 export {TrueTime} from './true_time.js';
 export {UsageLedger} from './usage_ledger.js';
--- a/src/usage/true_time.ts
+++ b/src/usage/true_time.ts
@@ -1,17 +1,17 @@
 import {Clock} from '../time/index.js';
 
-/** Hosts that are remembered with their reading of the time. */
+/** Maximum number of hosts whose offsets are kept. */
 const MAX_HOSTS = 512;
 
 /**
- * The true time, agreed from many hosts' clocks.
+ * Reference time, derived from the clocks of many hosts.
  *
- * Every host measures how far its time of day is from the steady clock that all
- * share, the table's. The median of these offsets is not moved by a few hosts
- * whose time of day has stepped.
+ * Each host measures the offset of its wall clock from the shared monotonic clock, that of
+ * the table. Reference time is the shared clock plus the median of these offsets, which
+ * a few hosts with a stepped wall clock do not change.
  */
 export class TrueTime {
-  /** Table's clock less this host's steady clock, in milliseconds. */
+  /** Table's clock minus this host's monotonic clock, in milliseconds. */
   private sharedOffsetMs: number | undefined;
   private readonly offsets = new Map<string, number>();
 
@@ -21,9 +21,9 @@
   ) {}
 
   /**
-   * Takes in a reading of the shared steady clock.
-   * @param sharedMs - What it said.
-   * @param sentMs - When it was asked, on this host's steady clock.
+   * Adds a reading of the shared clock.
+   * @param sharedMs - The reading, in milliseconds.
+   * @param sentMs - When it was requested, on this host's monotonic clock.
    */
   addReading(sharedMs: number, sentMs: number): void {
     const middleMs = (sentMs + this.clock.monotonicMs()) / 2;
@@ -31,14 +31,14 @@
     this.offsets.set(this.host, this.readOwnOffset() ?? 0);
   }
 
-  /** Takes in a peer's offset of the time of day from the shared clock. */
+  /** Adds the offset of a peer's wall clock from the shared clock, in milliseconds. */
   addPeer(host: string, offsetMs: number): void {
     if (this.offsets.size < MAX_HOSTS || this.offsets.has(host)) {
       this.offsets.set(host, offsetMs);
     }
   }
 
-  /** Returns this host's offset, to tell peers; absent before a reading. */
+  /** Returns this host's offset, for reports to peers; absent before the first reading. */
   readOwnOffset(): number | undefined {
     if (this.sharedOffsetMs === undefined) {
       return undefined;
@@ -47,14 +47,14 @@
     return Math.round(this.clock.now().getTime() - sharedMs);
   }
 
-  /** Returns the shared steady clock; absent before a reading. */
+  /** Returns the time of the shared clock; absent before the first reading. */
   readSharedMs(): number | undefined {
     return this.sharedOffsetMs === undefined
       ? undefined
       : this.clock.monotonicMs() + this.sharedOffsetMs;
   }
 
-  /** Returns the usual offset, the median of the hosts'; absent before a reading. */
+  /** Returns the median of the hosts' offsets; absent before the first reading. */
   getUsualOffset(): number | undefined {
     const own = this.readOwnOffset();
     if (own === undefined) {
@@ -65,7 +65,7 @@
     return sorted[Math.floor((sorted.length - 1) / 2)] ?? own;
   }
 
-  /** Returns the true time in Unix milliseconds, as well as it is known. */
+  /** Returns reference time in Unix milliseconds; the wall clock before the first reading. */
   getMs(): number {
     const sharedMs = this.readSharedMs();
     const offsetMs = this.getUsualOffset();
--- a/src/usage/usage_ledger.ts
+++ b/src/usage/usage_ledger.ts
@@ -1,15 +1,15 @@
-/** Requests that began in one window, by customer. */
+/** Number of requests that began in one window, by customer. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
 /** Counts of one window at one host. */
 export interface WindowUsage {
-  /** Number of the window since the start of 1970. */
+  /** Number of the window, counted from the Unix epoch. */
   readonly window: number;
   readonly counts: UsageCounts;
 }
 
-/** Windows that a host remembers. */
-const KEPT_WINDOWS = 6;
+/** Maximum number of windows kept. */
+const MAX_WINDOWS = 6;
 
 /** Counts the requests that begin on this host, by window and customer. */
 export class UsageLedger {
@@ -17,41 +17,41 @@
 
   /**
    * @param windowMs - Length of a window, in milliseconds.
-   * @param getTrueMs - Returns the true time in Unix milliseconds.
+   * @param getReferenceMs - Returns reference time in Unix milliseconds.
    */
   constructor(
     private readonly windowMs: number,
-    private readonly getTrueMs: () => number,
+    private readonly getReferenceMs: () => number,
   ) {}
 
-  /** Returns the window that a moment falls into. */
-  getWindow(trueMs: number): number {
-    return Math.floor(trueMs / this.windowMs);
+  /** Returns the window that contains a time. */
+  getWindow(referenceMs: number): number {
+    return Math.floor(referenceMs / this.windowMs);
   }
 
   /**
-   * Counts a request that a server began.
-   * @param customer - Whose it is.
+   * Counts a request that a server began to process.
+   * @param customer - Customer of the request.
    * @param agoMs - How long ago it began, in milliseconds.
    */
   add(customer: string, agoMs: number): void {
-    const window = this.getWindow(this.getTrueMs() - agoMs);
+    const window = this.getWindow(this.getReferenceMs() - agoMs);
     const counts = this.windows.get(window) ?? new Map<string, number>();
     counts.set(customer, (counts.get(customer) ?? 0) + 1);
     this.windows.set(window, counts);
     for (const old of this.windows.keys()) {
-      if (old <= window - KEPT_WINDOWS) {
+      if (old <= window - MAX_WINDOWS) {
         this.windows.delete(old);
       }
     }
   }
 
-  /** Returns one window's counts. */
+  /** Returns the counts of one window. */
   getCounts(window: number): UsageCounts {
     return Object.fromEntries(this.windows.get(window) ?? []);
   }
 
-  /** Lists the windows that are remembered, to tell peers. */
+  /** Lists all kept windows, for reports to peers. */
   list(): WindowUsage[] {
     const list: WindowUsage[] = [];
     for (const [window, counts] of this.windows) {
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -5,14 +5,14 @@
 import {HostUsage} from './host_usage.js';
 import {UsageCounts, UsageLedger} from './usage_ledger.js';
 
-/** Sends one window's counts to whoever bills; tells whether it was taken. */
+/** Sends one window's counts to the billing system; returns whether it accepted them. */
 export type SendUsage = (
   window: number,
   counts: UsageCounts,
   fence: number,
 ) => Promise<boolean>;
 
-/** What the reporter works with. */
+/** Dependencies of the reporter. */
 export interface UsageReporterOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -20,63 +20,68 @@
   readonly duty: Duty;
   readonly ledger: UsageLedger;
   readonly hostUsage: HostUsage;
-  /** Host and start of this process. */
+  /** Host and incarnation of this process. */
   readonly origin: string;
-  /** Tells whether a holder of the duty is heard, and so hears this host. */
+  /** Returns whether a holder of the duty is reachable, and so receives this host's counts. */
   readonly hearsHolder: () => boolean;
-  /** Tells whether every host that is known was heard just now. */
+  /** Returns whether this host is in contact with all known hosts. */
   readonly hearsAll: () => boolean;
-  /** Asks every peer what it knows of a window. */
+  /** Requests the counts of a window from all peers. */
   readonly gather: (window: number) => Promise<void>;
+  /** Returns reference time in Unix milliseconds. */
   readonly getTrueMs: () => number;
   readonly windowMs: number;
-  /** Time after a window's end at which its report is too late, in ms. */
+  /** Time after the end of a window from which its report is too late, in milliseconds. */
   readonly lateMs: number;
   readonly send: SendUsage;
 }
 
-const POLL_MS = 200;
+/** Interval between checks at the holder of the duty, in milliseconds. */
+const POLL_INTERVAL_MS = 200;
 /**
- * The same at a host that holds no duty, which only looks whether it has to write its
- * own counts, in milliseconds: an idle host's time goes to waking up.
+ * The same at other hosts, which only check whether to write their own counts, in
+ * milliseconds. It is longer since wake-ups make up the CPU time of an idle host.
  */
-const WATCH_MS = 1000;
-/** Wait after a window's end for the last word of every host. */
-const SETTLE_MS = 1000;
-/** Wait after a window's end for hosts that are not heard. */
-const PATIENCE_MS = 4500;
+const STANDBY_POLL_INTERVAL_MS = 1000;
+/** Wait after the end of a window for the last counts of every host, in milliseconds. */
+const SETTLE_DELAY_MS = 1000;
+/** Wait after the end of a window for unreachable hosts, in milliseconds. */
+const UNREACHABLE_HOST_TIMEOUT_MS = 4500;
 const COUNTS_PREFIX = 'usage-counts/';
 const DECIDED_PREFIX = 'usage-decided/';
 
 /**
  * Reports each window's usage once.
  *
- * A host that hears no holder writes its own counts to the table when a window
- * has ended; the holder of the duty adds up what it heard from hosts and reads there, writes the
- * sum under the condition that none is written yet, and sends what is written.
- * A later holder sends exactly the same.
+ * A host that cannot reach a holder of the duty writes its own counts to the table when a
+ * window has ended. The holder sums the counts that hosts reported and those in the
+ * table, writes the sum to the table unless one is there already, and sends the written
+ * sum. A later holder therefore sends exactly the same counts.
  */
 export class UsageReporter {
-  private written = 0;
-  private reported = 0;
+  private lastWritten = 0;
+  private lastReported = 0;
 
   constructor(private readonly options: UsageReporterOptions) {}
 
-  /** Works until aborted. */
+  /** Writes and reports counts until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const {clock, ledger, getTrueMs, lateMs} = this.options;
-    this.written = ledger.getWindow(getTrueMs()) - 1;
-    // Windows that an earlier holder left are looked at again.
-    this.reported = ledger.getWindow(getTrueMs() - lateMs) - 1;
+    this.lastWritten = ledger.getWindow(getTrueMs()) - 1;
+    // Check again the windows that an earlier holder may not have reported.
+    this.lastReported = ledger.getWindow(getTrueMs() - lateMs) - 1;
     while (!signal.aborted) {
       const isHolder = this.options.duty.isHeld();
-      await clock.sleep(isHolder ? POLL_MS : WATCH_MS, signal);
+      await clock.sleep(
+        isHolder ? POLL_INTERVAL_MS : STANDBY_POLL_INTERVAL_MS,
+        signal,
+      );
       await this.writeOwn();
       await this.report();
     }
   }
 
-  /** Writes what is counted so far, since this host stops. */
+  /** Writes the counts so far to the table; called when this host stops. */
   async flush(): Promise<void> {
     const {ledger, getTrueMs} = this.options;
     const window = ledger.getWindow(getTrueMs());
@@ -87,15 +92,15 @@
   private async writeOwn(): Promise<void> {
     const {ledger, getTrueMs, duty} = this.options;
     const window = ledger.getWindow(getTrueMs()) - 1;
-    if (window <= this.written) {
+    if (window <= this.lastWritten) {
       return;
     }
-    const done =
+    const isDone =
       this.options.hearsHolder() ||
       duty.getFence() !== undefined ||
       (await this.writeCounts(window));
-    if (done) {
-      this.written = window;
+    if (isDone) {
+      this.lastWritten = window;
     }
   }
 
@@ -115,28 +120,29 @@
   private async report(): Promise<void> {
     const {duty, ledger, getTrueMs, windowMs, lateMs} = this.options;
     const nowMs = getTrueMs();
-    const last = ledger.getWindow(nowMs - SETTLE_MS) - 1;
+    const last = ledger.getWindow(nowMs - SETTLE_DELAY_MS) - 1;
     const first = ledger.getWindow(nowMs - lateMs - windowMs) + 1;
     for (
-      let window = Math.max(first, this.reported + 1);
+      let window = Math.max(first, this.lastReported + 1);
       window <= last;
       window++
     ) {
       const ageMs = nowMs - (window + 1) * windowMs;
-      const isComplete = this.options.hearsAll() || ageMs > PATIENCE_MS;
+      const isComplete =
+        this.options.hearsAll() || ageMs > UNREACHABLE_HOST_TIMEOUT_MS;
       if (duty.getFence() === undefined || !isComplete) {
         return;
       }
       if (!(await this.reportWindow(window))) {
         return;
       }
-      this.reported = window;
+      this.lastReported = window;
     }
   }
 
   private async reportWindow(window: number): Promise<boolean> {
     const {duty, log, send} = this.options;
-    const counts = await this.decide(window);
+    const counts = await this.decideCounts(window);
     const fence = duty.getFence();
     if (counts === undefined || fence === undefined) {
       return false;
@@ -147,8 +153,8 @@
     return taken;
   }
 
-  /** Returns the counts that were decided, by this host or an earlier holder. */
-  private async decide(window: number): Promise<UsageCounts | undefined> {
+  /** Returns the final counts, written by this host or an earlier holder. */
+  private async decideCounts(window: number): Promise<UsageCounts | undefined> {
     const {table} = this.options;
     const key = `${DECIDED_PREFIX}${window}`;
     const found = await table.get(key);
@@ -165,7 +171,7 @@
     const written = await table.transact([
       {kind: StepKind.PUT, key, ifVersion: ABSENT, value: counts},
     ]);
-    // After a lost answer the next round reads what was written.
+    // If the answer was lost, the next round reads the written counts.
     return written.isOk ? counts : undefined;
   }
 
--- a/test/usage/true_time_test.ts
+++ b/test/usage/true_time_test.ts
@@ -2,7 +2,7 @@
 import {CancelTimer, Clock, VirtualClock} from '../../src/time/index.js';
 import {TrueTime} from '../../src/usage/index.js';
 
-/** A clock whose time of day can be stepped. */
+/** A clock whose wall-clock time can be stepped. */
 class SteppedClock implements Clock {
   stepMs = 0;
 
@@ -26,7 +26,7 @@
 }
 
 describe('TrueTime', () => {
-  it('is not moved by the time of day of one host', async () => {
+  it('is not changed by the wall clock of one host', async () => {
     const clock = new VirtualClock(1_000_000);
     const stepped = new SteppedClock(clock);
     const time = new TrueTime(stepped, 'a');
@@ -39,7 +39,7 @@
     expect(time.getMs()).to.equal(1_000_100);
   });
 
-  it('is the time of day before the shared clock is known', () => {
+  it('is the wall-clock time before the shared clock is known', () => {
     const clock = new VirtualClock(5000);
     expect(new TrueTime(clock, 'a').getMs()).to.equal(5000);
   });
--- a/test/usage/usage_reporter_test.ts
+++ b/test/usage/usage_reporter_test.ts
@@ -20,8 +20,8 @@
 const WINDOW_MS = 5000;
 const LEASE_MS = 3000;
 
-/** A table that carries some writes out and answers none of them. */
-class LosingTable extends MemoryTableService {
+/** A table that can execute writes of usage rows while losing their answers. */
+class AnswerLosingTable extends MemoryTableService {
   losesAnswers = false;
 
   override async transact(
@@ -34,8 +34,8 @@
   }
 }
 
-/** What whoever bills was told. */
-interface Sent {
+/** A report as the billing system receives it. */
+interface SentReport {
   readonly window: number;
   readonly counts: UsageCounts;
   readonly fence: number;
@@ -43,15 +43,15 @@
 
 describe('UsageReporter', () => {
   let clock: VirtualClock;
-  let table: LosingTable;
-  let sent: Sent[];
-  let takes: boolean;
+  let table: AnswerLosingTable;
+  let sent: SentReport[];
+  let accepts: boolean;
 
   beforeEach(() => {
     clock = new VirtualClock(1_000_000);
-    table = new LosingTable();
+    table = new AnswerLosingTable();
     sent = [];
-    takes = true;
+    accepts = true;
   });
 
   function start(host: string) {
@@ -91,7 +91,7 @@
       lateMs: 10_000,
       send: async (window, counts, fence) => {
         sent.push({window, counts, fence});
-        return takes;
+        return accepts;
       },
     });
     void duty.run(stopped.signal);
@@ -99,11 +99,11 @@
     return {ledger, hostUsage, stopped, duty};
   }
 
-  function listFor(window: number): Sent[] {
+  function listFor(window: number): SentReport[] {
     return sent.filter(report => report.window === window);
   }
 
-  it('adds up what every host counted, once, in time', async () => {
+  it('sums the counts of all hosts once, and in time', async () => {
     const a = start('a');
     await clock.advance(100);
     const b = start('b');
@@ -121,15 +121,15 @@
     await clock.advance(10);
   });
 
-  it('sends the same counts again when no answer came', async () => {
+  it('retries with the same counts if they were not accepted', async () => {
     const a = start('a');
     await clock.advance(1000);
     a.ledger.add('guild', 0);
     const window = a.ledger.getWindow(clock.now().getTime());
-    takes = false;
+    accepts = false;
     await clock.advance(WINDOW_MS + 800);
     a.hostUsage.add('late/1', [{window, counts: {guild: 5}}]);
-    takes = true;
+    accepts = true;
     await clock.advance(2000);
     const counts = listFor(window).map(report => report.counts);
     expect(counts.length).to.be.greaterThan(1);
@@ -140,7 +140,7 @@
     await clock.advance(10);
   });
 
-  it('sends what is written after the answer of the write was lost', async () => {
+  it('sends the written counts after the answer to the write was lost', async () => {
     const a = start('a');
     await clock.advance(1000);
     a.ledger.add('guild', 0);
@@ -156,18 +156,18 @@
     await clock.advance(10);
   });
 
-  it('is gone on with by the next holder, with the same counts', async () => {
+  it('is continued by the next holder with the same counts', async () => {
     const a = start('a');
     await clock.advance(100);
     const b = start('b');
     await clock.advance(1000);
     a.ledger.add('guild', 0);
     const window = a.ledger.getWindow(clock.now().getTime());
-    takes = false;
+    accepts = false;
     await clock.advance(WINDOW_MS + 800);
     expect(listFor(window).length).to.be.greaterThan(0);
     a.stopped.abort();
-    takes = true;
+    accepts = true;
     await clock.advance(3000);
     const reports = listFor(window);
     expect(reports.at(-1)?.fence).to.equal(2);
