--- a/src/quarantine/ended_servers.ts
+++ b/src/quarantine/ended_servers.ts
@@ -13,16 +13,16 @@
 export const CORRELATION_WINDOW_MS = 500;
 
 /**
- * Distinguishes a terminated server from one that closed a connection. All requests that
+ * Distinguishes a terminated server from one that only broke a connection. All requests that
  * a server loses at the same time share one check. A result that the server is running
  * is not reused, since it may have terminated since.
  */
 export class EndedServers {
   /** Checks in progress, by address. */
   private readonly pendingChecks = new Map<string, Promise<boolean>>();
-  /** When a termination was detected, by address, monotonic milliseconds; see `RESULT_REUSE_MS`. */
+  /** Time of each termination that is reused for other requests, monotonic milliseconds. */
   private readonly terminatedMs = new Map<string, number>();
-  /** The same within `CORRELATION_WINDOW_MS`. */
+  /** Time of each termination within `CORRELATION_WINDOW_MS`, monotonic milliseconds. */
   private readonly recentTerminationsMs = new Map<string, number>();
 
   /**
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -62,7 +62,7 @@
     return this.suspects.size > 0;
   }
 
-  /** Returns the level of a content, to be kept when a run of it begins. */
+  /** Returns the current level of a content; a run keeps the one at which it began. */
   getLevel(content: string): number {
     const suspect = this.suspects.get(content);
     return suspect === undefined ? 0 : readLevel(suspect);
@@ -275,7 +275,7 @@
   return readLevel(suspect) - suspect.clearedLevel;
 }
 
-/** Adds a termination if it was not cleared; returns whether it was new. */
+/** Adds a termination that is new and not cleared; returns whether it was added. */
 function addEnd(
   suspect: Suspect,
   server: string,
@@ -290,7 +290,7 @@
   return true;
 }
 
-/** Removes the terminations that an answer has cleared; returns whether any level was. */
+/** Clears the terminations up to a level; returns whether that level is a new one. */
 function clear(suspect: Suspect, level: number): boolean {
   if (level <= suspect.clearedLevel) {
     return false;
--- a/src/quarantine/watched_content.ts
+++ b/src/quarantine/watched_content.ts
@@ -10,7 +10,7 @@
   readonly endedServers: EndedServers;
 }
 
-/** A server that closed the connection during a run. */
+/** A server whose connection broke during a run. */
 export interface DisconnectedServer {
   readonly name: string;
   /** Differs for each incarnation; absent if the server does not distinguish them. */
@@ -73,9 +73,11 @@
   }
 
   /**
-   * Records that a server closed the connection, and checks whether it has terminated.
+   * Checks whether a server whose connection broke during the run has terminated, and
+   * records it.
    * @param server - The server, if it is still known. If it does not distinguish its
-   *   incarnations, the level when the run began does so in their place.
+   *   incarnations, a termination that was not known when the run began counts as that
+   *   of another incarnation.
    * @returns Whether it has terminated.
    */
   async addLoss(server: DisconnectedServer | undefined): Promise<boolean> {
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -40,7 +40,7 @@
 const POLL_INTERVAL_MS = 200;
 /**
  * The same at other hosts, which only check whether to write their own counts, in
- * milliseconds. It is longer since wake-ups make up the CPU time of an idle host.
+ * milliseconds. It is longer since an idle host spends its CPU time on wake-ups.
  */
 const STANDBY_POLL_INTERVAL_MS = 1000;
 /** Wait after the end of a window for the last counts of every host, in milliseconds. */
--- a/test/quarantine/unaffected_requests_test.ts
+++ b/test/quarantine/unaffected_requests_test.ts
@@ -1,4 +1,7 @@
-/** Long requests that lose several servers in turn must not be blocked for it. */
+/**
+ * Guards against blocking long requests that continue at other servers and meet the
+ * termination of several, which they did not cause.
+ */
 import {expect} from 'chai';
 import {SilentLog} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
