--- a/src/caller/authentication.ts
+++ b/src/caller/authentication.ts
@@ -1,9 +1,9 @@
 import {createHash} from 'node:crypto';
 
-const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/;
+const BEARER_PATTERN = /^Bearer ([\x21-\x7e]{1,512})$/;
 
 /**
- * Hashes a bearer key as records and settings keep it.
+ * Hashes a bearer key, as stored in customer records and settings.
  * @param key - The key.
  * @returns SHA-256 in lower-case hexadecimal.
  */
@@ -12,11 +12,11 @@
 }
 
 /**
- * Reads the bearer key of a request.
+ * Returns the hash of the bearer key of a request.
  * @param header - Value of the Authorization header.
- * @returns The hash of the key; `undefined` when there is none.
+ * @returns The hash, or `undefined` if the header has no valid bearer key.
  */
 export function getKeyHash(header: string | undefined): string | undefined {
-  const match = BEARER.exec(header ?? '');
+  const match = BEARER_PATTERN.exec(header ?? '');
   return match?.[1] === undefined ? undefined : hashKey(match[1]);
 }
--- a/src/caller/call_id.ts
+++ b/src/caller/call_id.ts
@@ -3,8 +3,8 @@
 const KEY_ID_PREFIX = 'key.';
 
 /**
- * Makes the id of a call from its key, so that any host can find it.
- * @param key - Idempotency-Key of the call, chosen or minted.
+ * Derives the id of a call from its key, so that any host can find the call.
+ * @param key - Idempotency-Key of the call, from the caller or generated here.
  */
 export function getCallId(key: string): string {
   return isMintedKey(key)
@@ -12,8 +12,8 @@
     : KEY_ID_PREFIX + Buffer.from(key).toString('base64url');
 }
 
-/** Finds the key of a call from its id. */
-export function getKeyOfCallId(id: string): string {
+/** Returns the key of a call from its id; the inverse of `getCallId`. */
+export function getKeyFromCallId(id: string): string {
   return id.startsWith(KEY_ID_PREFIX)
     ? Buffer.from(id.slice(KEY_ID_PREFIX.length), 'base64url').toString()
     : id;
--- a/src/caller/caller_api.ts
+++ b/src/caller/caller_api.ts
@@ -9,8 +9,8 @@
 import {
   CallerContext,
   CallerRequest,
-  identify,
-  listUsable,
+  authenticate,
+  listUsableDeployments,
 } from './caller_context.js';
 import {GenerationHandler} from './generation_handler.js';
 import {RequestHandler} from './request_handler.js';
@@ -18,7 +18,7 @@
 import {ServiceHandler} from './service_handler.js';
 
 const BAD_REQUEST = 400;
-const TOO_LARGE = 413;
+const PAYLOAD_TOO_LARGE = 413;
 
 /** The HTTP interface for callers. */
 export class CallerApi {
@@ -29,7 +29,7 @@
     private readonly requests: RequestHandler,
   ) {}
 
-  /** Builds the express app. */
+  /** Creates the Express application. */
   createApp(): Express {
     const app = express();
     app.disable('x-powered-by');
@@ -79,7 +79,7 @@
         this.services.handle(
           caller,
           String(request.params['deployment']),
-          // Inside "use", the url is what follows the mount path.
+          // Under `app.use`, the URL excludes the mount path.
           request.url,
         ),
       ),
@@ -93,7 +93,7 @@
   ): Promise<void> {
     const startMs = this.context.clock.monotonicMs();
     try {
-      await handle(identify(this.context, request, response));
+      await handle(authenticate(this.context, request, response));
     } catch (error) {
       if (!(error instanceof Refusal)) {
         throw error;
@@ -111,7 +111,7 @@
   }
 
   private async sendModels(caller: CallerRequest): Promise<void> {
-    const data = listUsable(caller, 'model').map(id => ({
+    const data = listUsableDeployments(caller, 'model').map(id => ({
       id,
       object: 'model',
       created: 0,
@@ -138,16 +138,16 @@
   }
 
   private toProblem(status: number | undefined, message: string): Problem {
-    if (status === TOO_LARGE) {
+    if (status === PAYLOAD_TOO_LARGE) {
       return problems.bodyTooLarge(this.context.limits.maxBodyBytes);
     }
     return status === BAD_REQUEST
       ? problems.bodyInvalid(message)
-      : problems.serverFailed('an error inside this host');
+      : problems.serverFailed('internal error of this host');
   }
 }
 
-/** Names the route without ids, so that labels stay few. */
+/** Returns the route without ids, which keeps the number of metric labels small. */
 function getPathLabel(request: Request): string {
   const [, first = '', second = ''] = request.originalUrl
     .split('?')[0]!
--- a/src/caller/caller_context.ts
+++ b/src/caller/caller_context.ts
@@ -19,20 +19,20 @@
   readonly maxTimeoutMs: number;
 }
 
-/** What every handler of the callers' interface works with. */
+/** Dependencies common to all handlers of the callers' interface. */
 export interface CallerContext {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly configuration: ConfigurationStore;
   readonly limits: CallerLimits;
-  /** Makes the id of a request. */
+  /** Generates a request id. */
   readonly mintId: () => string;
-  /** Returns whether new work is refused, as this host is leaving. */
+  /** Returns whether new work is refused because this host is leaving. */
   readonly isRefusing: () => boolean;
 }
 
-/** A request whose sender is known. */
+/** A request of an authenticated customer, and the configuration it is served with. */
 export interface CallerRequest {
   readonly request: Request;
   readonly response: Response;
@@ -41,10 +41,11 @@
 }
 
 /**
- * Finds out who sends a request.
- * @throws Refusal - When that cannot be told, or this host cannot serve.
+ * Authenticates a request by its bearer key.
+ * @throws Refusal - When the key is missing or unknown, or this host has no
+ *   configuration yet.
  */
-export function identify(
+export function authenticate(
   context: CallerContext,
   request: Request,
   response: Response,
@@ -63,10 +64,12 @@
 }
 
 /**
- * Finds the deployment a customer asks for.
- * @param caller - Who asks.
+ * Finds the deployment that a request names.
+ * @param caller - The request.
  * @param name - Name of the deployment.
- * @param kind - What it must serve.
+ * @param kind - Kind of target that the deployment must have.
+ * @returns The deployment, or a problem if it does not exist or the customer may
+ *   not use it.
  */
 export function findDeployment(
   caller: CallerRequest,
@@ -75,15 +78,18 @@
 ): Deployment | Problem {
   const deployment = caller.view.deployments.get(name);
   if (deployment === undefined || deployment.target.kind !== kind) {
-    return problems.deploymentUnknown(name, listUsable(caller, kind));
+    return problems.deploymentUnknown(
+      name,
+      listUsableDeployments(caller, kind),
+    );
   }
   return mayUse(caller.customer, deployment)
     ? deployment
     : problems.customerNotAllowed(caller.customer.name, name);
 }
 
-/** Returns the names of the deployments a customer may use. */
-export function listUsable(
+/** Returns the names of the deployments of a kind that the customer may use. */
+export function listUsableDeployments(
   caller: CallerRequest,
   kind: 'model' | 'service',
 ): string[] {
@@ -99,7 +105,7 @@
   return names;
 }
 
-/** Tells a problem from a deployment. */
+/** Returns whether the result of `findDeployment` is a problem. */
 export function isProblem(found: Deployment | Problem): found is Problem {
   return 'remedy' in found;
 }
--- a/src/caller/completion_format.ts
+++ b/src/caller/completion_format.ts
@@ -3,16 +3,16 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Members that stand on every chunk and answer of one generation. */
+/** Fields common to all chunks, and to the whole completion, of one generation. */
 export interface CompletionHead {
   readonly id: string;
   readonly created: number;
-  /** Deployment, as the caller named it. */
+  /** Model name to report to the caller. */
   readonly model: string;
   readonly format: GenerationFormat;
 }
 
-/** Makes the head of a generation's answer. */
+/** Creates the common fields of the response to a generation request. */
 export function createHead(
   generation: Generation,
   model: string,
@@ -26,7 +26,7 @@
   };
 }
 
-/** Writes a token as a chunk of a streamed completion. */
+/** Formats a token as a chunk of a streamed completion. */
 export function toTokenChunk(head: CompletionHead, text: string): unknown {
   const choice =
     head.format === GenerationFormat.CHAT
@@ -39,7 +39,7 @@
   return createChunk(head, choice);
 }
 
-/** Writes the end of a generation as a chunk. */
+/** Formats the end of a generation as a chunk. */
 export function toFinishChunk(head: CompletionHead, reason: string): unknown {
   const choice =
     head.format === GenerationFormat.CHAT
@@ -48,7 +48,7 @@
   return createChunk(head, choice);
 }
 
-/** Writes a whole answer, for callers that do not stream. */
+/** Formats a whole completion, for callers that do not stream. */
 export function toCompletion(
   head: CompletionHead,
   texts: readonly string[],
--- a/src/caller/generation_admission.ts
+++ b/src/caller/generation_admission.ts
@@ -6,29 +6,31 @@
 import {Random} from '../random/index.js';
 import {Clock} from '../time/index.js';
 
-/** What the admission of generations works with. */
+/** Dependencies of the admission of generations. */
 export interface GenerationAdmissionOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly random: Random;
   readonly runner: GenerationRunner;
   readonly usage: UsageCounter;
-  /** Returns how many generations the servers of a deployment can decode. */
+  /** Returns how many generations the servers of a deployment can decode at once. */
   readonly getCapacity: (deployment: string) => number;
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_SERVERS: ReadonlySet<string> = new Set();
 
-/** Admits generations, or says why not. */
+/** Decides which generations are admitted. */
 export class GenerationAdmission {
   constructor(private readonly options: GenerationAdmissionOptions) {}
 
   /**
-   * Decides on a generation, from what the best server would make of it.
+   * Decides whether to admit a generation, from its customer's share and the time to
+   * the first token that is predicted for the best server. Such a refusal is logged;
+   * one because no server is available is not.
    * @param view - Configuration in force.
-   * @param deployment - Deployment it asks for.
-   * @param generation - The generation; nothing has been sent for it.
-   * @returns Why it is refused, or `undefined` to admit it.
+   * @param deployment - Deployment that the generation requests.
+   * @param generation - The generation; not yet sent to any server.
+   * @returns Why it is refused, or `undefined` if it is admitted.
    */
   decide(
     view: ConfigurationView,
@@ -36,7 +38,7 @@
     generation: Generation,
   ): Problem | undefined {
     const {request} = generation;
-    const {chosen} = this.options.runner.choose(generation, NONE);
+    const {chosen} = this.options.runner.choose(generation, NO_SERVERS);
     if (chosen === undefined) {
       return problems.noServer(deployment.name);
     }
--- a/src/caller/generation_handler.ts
+++ b/src/caller/generation_handler.ts
@@ -25,7 +25,7 @@
 import {REQUEST_ID_HEADER, sendProblem} from './send_problem.js';
 import {streamGeneration} from './stream_generation.js';
 
-/** What the handler works with besides the common context. */
+/** Dependencies of the handler in addition to the common context. */
 export interface GenerationHandlerOptions {
   readonly runner: GenerationRunner;
   readonly store: GenerationStore;
@@ -38,7 +38,7 @@
 const bodySchema = z.looseObject({
   model: z.string().min(1),
   stream: z.boolean().nullish(),
-  n: z.literal(1, 'only 1 is served').nullish(),
+  n: z.literal(1, 'only 1 is supported').nullish(),
   max_tokens: z.number().int().min(1).max(MAX_TOKENS).nullish(),
   max_completion_tokens: z.number().int().min(1).max(MAX_TOKENS).nullish(),
 });
@@ -51,10 +51,10 @@
 
 const textSchema = bodySchema.extend({prompt: z.string()});
 
-/** Body of a completion request, as far as this system reads it. */
+/** Fields of a completion request that this system interprets. */
 type CompletionBody = z.output<typeof bodySchema>;
 
-/** Serves chat and text completions. */
+/** Handles requests for chat and text completions. */
 export class GenerationHandler {
   constructor(
     private readonly context: CallerContext,
@@ -62,10 +62,11 @@
   ) {}
 
   /**
-   * Serves one request.
+   * Handles one request. Resolves once the response is complete or the caller has
+   * disconnected.
    * @param caller - The request.
-   * @param format - Wire format of body and answer.
-   * @throws Refusal - When it is not taken in.
+   * @param format - Wire format of the body and the response.
+   * @throws Refusal - When the request is not admitted.
    */
   async handle(caller: CallerRequest, format: GenerationFormat): Promise<void> {
     const body = parseBody(caller.request.body as Buffer, format);
@@ -94,8 +95,8 @@
     const problem =
       body.stream === true
         ? await this.sendStream(answer)
-        : await this.sendWhole(answer);
-    this.count(deployment, problem);
+        : await this.sendCompletion(answer);
+    this.countOutcome(deployment, problem);
   }
 
   private createRequest(
@@ -148,24 +149,26 @@
   private sendStream(answer: GenerationAnswer): Promise<Problem | undefined> {
     const {caller, generation, model} = answer;
     const {clock} = this.context;
-    const gone = new AbortController();
-    caller.response.on('close', () => gone.abort());
+    const disconnected = new AbortController();
+    caller.response.on('close', () => disconnected.abort());
     return streamGeneration(
       caller.response,
       createHead(generation, model, clock.now()),
-      generation.read(0, gone.signal, () => clock.monotonicMs()),
+      generation.read(0, disconnected.signal, () => clock.monotonicMs()),
     );
   }
 
-  private async sendWhole(
+  private async sendCompletion(
     answer: GenerationAnswer,
   ): Promise<Problem | undefined> {
     const {caller, generation, model} = answer;
     const {clock} = this.context;
-    const gone = new AbortController();
-    caller.response.on('close', () => gone.abort());
+    const disconnected = new AbortController();
+    caller.response.on('close', () => disconnected.abort());
     const head = createHead(generation, model, clock.now());
-    const events = generation.read(0, gone.signal, () => clock.monotonicMs());
+    const events = generation.read(0, disconnected.signal, () =>
+      clock.monotonicMs(),
+    );
     for await (const event of events) {
       if (event.kind === 'failed') {
         sendProblem(caller.response, event.problem, head.id);
@@ -188,7 +191,10 @@
     return undefined;
   }
 
-  private count(deployment: Deployment, problem: Problem | undefined): void {
+  private countOutcome(
+    deployment: Deployment,
+    problem: Problem | undefined,
+  ): void {
     this.context.metrics.increment('generations_total', {
       deployment: deployment.name,
       outcome: problem === undefined ? 'answered' : problem.kind,
@@ -196,11 +202,11 @@
   }
 }
 
-/** A generation and where its answer goes. */
+/** A generation and the request that it answers. */
 interface GenerationAnswer {
   readonly caller: CallerRequest;
   readonly generation: Generation;
-  /** Model as the caller named it. */
+  /** Value of the field "model" in the request. */
   readonly model: string;
 }
 
--- a/src/caller/index.ts
+++ b/src/caller/index.ts
@@ -1,4 +1,4 @@
-/** The interface for callers: completions, service calls, asking again. */
+/** The callers' interface: completions, service calls, outcomes of earlier requests. */
 export {getKeyHash, hashKey} from './authentication.js';
 export {CallerApi} from './caller_api.js';
 export type {CallerContext, CallerLimits} from './caller_context.js';
@@ -8,7 +8,7 @@
 export type {GenerationHandlerOptions} from './generation_handler.js';
 export {RequestHandler} from './request_handler.js';
 export type {
-  RemoteGeneration,
+  ReadableGeneration,
   RequestHandlerOptions,
 } from './request_handler.js';
 export {sendProblem} from './send_problem.js';
--- a/src/caller/request_handler.ts
+++ b/src/caller/request_handler.ts
@@ -6,34 +6,35 @@
 } from '../generation/index.js';
 import {isMintedKey} from '../journal/index.js';
 import {OnceCalls} from '../service/index.js';
-import {getKeyOfCallId} from './call_id.js';
+import {getKeyFromCallId} from './call_id.js';
 import {CallerContext, CallerRequest} from './caller_context.js';
 import {createHead, toCompletion} from './completion_format.js';
 import {sendProblem} from './send_problem.js';
 import {sendOutcome} from './service_handler.js';
 import {streamGeneration} from './stream_generation.js';
 
-/** A generation on another host, as it is read from there. */
-export interface RemoteGeneration {
-  /** Head of its answer, without the events. */
+/** A generation on this or another host, with its events. */
+export interface ReadableGeneration {
+  /** The generation; if it runs on another host, a local copy that follows it. */
   readonly generation: Generation;
+  /** Events from the requested position on. */
   readonly events: AsyncIterable<GenerationEvent>;
 }
 
-/** What the handler works with besides the common context. */
+/** Dependencies of the handler in addition to the common context. */
 export interface RequestHandlerOptions {
   readonly store: GenerationStore;
   readonly calls: OnceCalls;
-  /** Reads a generation from the host that runs it; `undefined` if none does. */
+  /** Reads a generation from the host that runs it; `undefined` if no other host has it. */
   readonly readRemote: (
     id: string,
     customer: string,
     from: number,
     signal: AbortSignal,
-  ) => Promise<RemoteGeneration | undefined>;
+  ) => Promise<ReadableGeneration | undefined>;
 }
 
-/** Serves answers that are asked for again, by the id of their request. */
+/** Returns outcomes and events of earlier requests by request id. */
 export class RequestHandler {
   constructor(
     private readonly context: CallerContext,
@@ -41,9 +42,11 @@
   ) {}
 
   /**
-   * Tells what came of a request.
-   * @param caller - The request that asks.
-   * @param id - Id of the request asked for.
+   * Sends the outcome of an earlier request; for a generation that is still
+   * running, waits until it ends.
+   * @param caller - The current request.
+   * @param id - Id of the earlier request.
+   * @throws Refusal - When no request of this customer has the id.
    */
   async handleOutcome(caller: CallerRequest, id: string): Promise<void> {
     const generation = await this.findGeneration(caller, id, 0);
@@ -53,7 +56,7 @@
     }
     const outcome = await this.options.calls.getOutcome(
       caller.customer.name,
-      getKeyOfCallId(id),
+      getKeyFromCallId(id),
     );
     if (outcome === undefined) {
       throw new Refusal(problems.requestUnknown(id));
@@ -62,9 +65,11 @@
   }
 
   /**
-   * Streams a generation from after the last event its caller has seen.
-   * @param caller - The request that asks.
+   * Streams a generation from the event after `Last-Event-ID` on, or from the
+   * first event without that header.
+   * @param caller - The current request.
    * @param id - Id of the generation.
+   * @throws Refusal - When the header is invalid or the generation is unknown.
    */
   async handleEvents(caller: CallerRequest, id: string): Promise<void> {
     const from = readResumePosition(caller.request.header('last-event-id'), id);
@@ -85,22 +90,22 @@
     caller: CallerRequest,
     id: string,
     from: number,
-  ): Promise<RemoteGeneration | undefined> {
+  ): Promise<ReadableGeneration | undefined> {
     if (!isMintedKey(id)) {
       return undefined;
     }
-    const gone = new AbortController();
-    caller.response.on('close', () => gone.abort());
+    const disconnected = new AbortController();
+    caller.response.on('close', () => disconnected.abort());
     const generation = this.options.store.get(id);
     if (generation === undefined) {
       const {name} = caller.customer;
-      return this.options.readRemote(id, name, from, gone.signal);
+      return this.options.readRemote(id, name, from, disconnected.signal);
     }
     if (generation.request.customer !== caller.customer.name) {
       return undefined;
     }
     const {clock} = this.context;
-    const events = generation.read(from, gone.signal, () =>
+    const events = generation.read(from, disconnected.signal, () =>
       clock.monotonicMs(),
     );
     return {generation, events};
@@ -108,7 +113,7 @@
 
   private async sendGeneration(
     caller: CallerRequest,
-    found: RemoteGeneration,
+    found: ReadableGeneration,
   ): Promise<void> {
     const {generation} = found;
     const texts: string[] = [];
--- a/src/caller/request_headers.ts
+++ b/src/caller/request_headers.ts
@@ -5,26 +5,26 @@
 
 const TIMEOUT_HEADER = 'sedgefall-timeout-ms';
 const ATTEMPT_HEADER = 'sedgefall-attempt';
-/** Sent by published clients; 0 means that this is the first try. */
+/** Sent by published client libraries; 0 on the first attempt. */
 const RETRY_COUNT_HEADER = 'x-stainless-retry-count';
 const KEY_HEADER = 'idempotency-key';
 const KEY_PATTERN = /^[\x21-\x7e]{1,255}$/;
 const URGENCY_PATTERN = /(?:^|[,;\s])u=([0-7])(?:$|[,;\s])/;
 
 /**
- * Reads the deadline of a request as a span of time.
+ * Reads the timeout of a request, in milliseconds.
  * @param request - The request.
- * @param fallbackMs - Used when the request names none.
- * @param maxMs - Longest span allowed.
+ * @param defaultMs - Timeout of requests without the header.
+ * @param maxMs - Longest timeout allowed.
  */
 export function readTimeoutMs(
   request: Request,
-  fallbackMs: number,
+  defaultMs: number,
   maxMs: number,
 ): Result<number, Problem> {
   const text = request.header(TIMEOUT_HEADER);
   if (text === undefined) {
-    return Result.ok(fallbackMs);
+    return Result.ok(defaultMs);
   }
   const value = /^\d{1,9}$/.test(text) ? Number(text) : 0;
   return value >= 1 && value <= maxMs
@@ -33,10 +33,12 @@
 }
 
 /**
- * Reads the urgency of a request (RFC 9218), within what its customer may ask.
+ * Reads the urgency of a request (RFC 9218): 0 to 7, where 0 is the most urgent.
+ * A value that is more urgent than the customer may use is limited to its most
+ * urgent one.
  * @param request - The request.
- * @param deployment - Gives the default.
- * @param customer - Gives the most urgent value allowed.
+ * @param deployment - Deployment with the default urgency.
+ * @param customer - Customer with the most urgent value allowed.
  */
 export function readUrgency(
   request: Request,
@@ -56,7 +58,7 @@
   return Result.ok(Math.max(Number(match[1]), customer.mostUrgent));
 }
 
-/** Reads the Idempotency-Key; `undefined` when there is none. */
+/** Reads the Idempotency-Key header; `undefined` if it is absent. */
 export function readIdempotencyKey(
   request: Request,
 ): Result<string | undefined, Problem> {
@@ -67,7 +69,7 @@
   return Result.err(problems.keyInvalid());
 }
 
-/** Tells whether the caller says that it sends this key for the first time. */
+/** Returns whether the headers state that this is the first attempt with the key. */
 export function isFirstAttempt(request: Request): boolean {
   return (
     request.header(ATTEMPT_HEADER) === '1' ||
@@ -75,7 +77,7 @@
   );
 }
 
-/** Tells whether the caller wants to be answered once the call is durable. */
+/** Returns whether the caller prefers a response as soon as the call is durable. */
 export function prefersAsync(request: Request): boolean {
   return /(^|[,\s])respond-async($|[,;\s])/.test(
     request.header('prefer') ?? '',
--- a/src/caller/send_problem.ts
+++ b/src/caller/send_problem.ts
@@ -5,10 +5,10 @@
 export const REQUEST_ID_HEADER = 'Sedgefall-Request-Id';
 
 /**
- * Answers with a problem document.
- * @param response - Response to answer on.
+ * Sends a problem document (`application/problem+json`) as the response.
+ * @param response - The response.
  * @param problem - The problem.
- * @param requestId - Id of the request, if it got one.
+ * @param requestId - Id of the request, if it has been assigned one.
  */
 export function sendProblem(
   response: Response,
--- a/src/caller/service_handler.ts
+++ b/src/caller/service_handler.ts
@@ -29,7 +29,7 @@
 } from './request_headers.js';
 import {REQUEST_ID_HEADER, sendProblem} from './send_problem.js';
 
-/** What the handler works with besides the common context. */
+/** Dependencies of the handler in addition to the common context. */
 export interface ServiceHandlerOptions {
   readonly calls: OnceCalls;
   readonly dispatcher: ServiceDispatcher;
@@ -50,7 +50,7 @@
   'DELETE',
 ]);
 
-/** Serves calls to plain services. */
+/** Handles calls of services. */
 export class ServiceHandler {
   constructor(
     private readonly context: CallerContext,
@@ -58,11 +58,11 @@
   ) {}
 
   /**
-   * Serves one call.
+   * Handles one call and sends its outcome.
    * @param caller - The request.
    * @param name - Name of the deployment.
-   * @param path - Path and query below the service's root.
-   * @throws Refusal - When it is not taken in.
+   * @param path - Path and query, relative to the root of the service.
+   * @throws Refusal - When the call is not admitted.
    */
   async handle(
     caller: CallerRequest,
@@ -80,7 +80,7 @@
       throw new Refusal(problems.hostDraining());
     }
     const call = this.readCall(caller, deployment, path);
-    const outcome = call.once
+    const outcome = call.atMostOnce
       ? await this.options.calls.run(call)
       : await this.runRepeatable(call.order);
     this.context.metrics.increment('calls_total', {
@@ -94,39 +94,49 @@
     caller: CallerRequest,
     deployment: Deployment,
     path: string,
-  ): {order: CallOrder; key: string; firstAttempt: boolean; once: boolean} {
+  ): {
+    order: CallOrder;
+    key: string;
+    firstAttempt: boolean;
+    atMostOnce: boolean;
+  } {
     const {request, customer} = caller;
-    const given = readIdempotencyKey(request);
+    const idempotencyKey = readIdempotencyKey(request);
     const timeout = readTimeoutMs(
       request,
       this.context.limits.serviceTimeoutMs,
       this.context.limits.maxTimeoutMs,
     );
-    if (given.isErr) {
-      throw new Refusal(given.error);
+    if (idempotencyKey.isErr) {
+      throw new Refusal(idempotencyKey.error);
     }
     if (timeout.isErr) {
       throw new Refusal(timeout.error);
     }
-    const key = given.value ?? this.options.mintKey();
+    const key = idempotencyKey.value ?? this.options.mintKey();
     if (isMintedKey(key) && parseMintedKey(key) === undefined) {
       throw new Refusal(problems.keyInvalid());
     }
     const body = request.body as Buffer | undefined;
-    const bytes = Buffer.isBuffer(body) ? body : new Uint8Array();
+    const bodyBytes = Buffer.isBuffer(body) ? body : new Uint8Array();
     const requestId = getCallId(key);
     const order: CallOrder = {
       entryKey: getEntryKey(customer.name, key),
       requestId,
       customer: customer.name,
       deployment: deployment.name,
-      fingerprint: fingerprint(deployment.name, request.method, path, bytes),
+      fingerprint: computeFingerprint(
+        deployment.name,
+        request.method,
+        path,
+        bodyBytes,
+      ),
       call: {
         requestId,
         method: request.method,
         path,
         contentType: request.header('content-type') ?? '',
-        body: bytes,
+        body: bodyBytes,
         key,
       },
       deadlineMs: this.context.clock.monotonicMs() + timeout.value,
@@ -137,8 +147,9 @@
     return {
       order,
       key,
-      firstAttempt: given.value === undefined || isFirstAttempt(request),
-      once: isOnce(deployment, request.method),
+      firstAttempt:
+        idempotencyKey.value === undefined || isFirstAttempt(request),
+      atMostOnce: isAtMostOnce(deployment, request.method),
     };
   }
 
@@ -148,10 +159,10 @@
 }
 
 /**
- * Sends what came of a call.
- * @param response - Response to answer on.
+ * Sends the outcome of a call.
+ * @param response - The response.
  * @param outcome - The outcome.
- * @param requestId - Id by which it can be asked for again.
+ * @param requestId - Id under which the outcome can be requested again.
  */
 export function sendOutcome(
   response: Response,
@@ -172,7 +183,7 @@
       sendProblem(response, outcome.problem, requestId);
       return;
     case OutcomeKind.MOVED: {
-      const reason = 'the book of this key is changing hosts';
+      const reason = 'the book of this key is being moved to another host';
       sendProblem(response, problems.outcomeUnknown(reason), requestId);
       return;
     }
@@ -192,7 +203,7 @@
   response.end(Buffer.from(answer.bodyBase64 ?? '', 'base64'));
 }
 
-function isOnce(deployment: Deployment, method: string): boolean {
+function isAtMostOnce(deployment: Deployment, method: string): boolean {
   const {target} = deployment;
   return (
     target.kind === TargetKind.SERVICE &&
@@ -201,7 +212,7 @@
   );
 }
 
-function fingerprint(
+function computeFingerprint(
   deployment: string,
   method: string,
   path: string,
--- a/src/caller/stream_generation.ts
+++ b/src/caller/stream_generation.ts
@@ -10,32 +10,32 @@
 import {REQUEST_ID_HEADER, sendProblem} from './send_problem.js';
 
 /**
- * Streams a generation as server-sent events. Each token's event has the id
- * "ID/POSITION", which a caller sends back to resume after it.
- * @param response - Response to stream on.
- * @param head - Head of the answer.
- * @param events - Events from the wanted position on.
- * @returns The problem it ended with, if it did not finish.
+ * Streams a generation as server-sent events. The event of each token has the id
+ * "ID/POSITION"; a caller sends it as Last-Event-ID to resume after that token.
+ * @param response - The response.
+ * @param head - Fields common to all chunks.
+ * @param events - Events from the requested position on.
+ * @returns The problem that the generation failed with, or `undefined`.
  */
 export async function streamGeneration(
   response: Response,
   head: CompletionHead,
   events: AsyncIterable<GenerationEvent>,
 ): Promise<Problem | undefined> {
-  let begun = false;
+  let headSent = false;
   for await (const event of events) {
-    if (event.kind === 'failed' && !begun) {
-      // Nothing is sent yet, so the status can still tell.
+    if (event.kind === 'failed' && !headSent) {
+      // Nothing has been sent yet, so the status code can report the problem.
       sendProblem(response, event.problem, head.id);
       return event.problem;
     }
-    if (!begun) {
-      begin(response, head);
-      begun = true;
+    if (!headSent) {
+      sendHead(response, head);
+      headSent = true;
     }
     if (event.kind === 'token') {
       const data = JSON.stringify(toTokenChunk(head, event.text));
-      await write(
+      await writeEvent(
         response,
         `id: ${head.id}/${event.position}\ndata: ${data}\n\n`,
       );
@@ -53,7 +53,7 @@
   return undefined;
 }
 
-function begin(response: Response, head: CompletionHead): void {
+function sendHead(response: Response, head: CompletionHead): void {
   response.status(200);
   response.setHeader('Content-Type', 'text/event-stream; charset=utf-8');
   response.setHeader('Cache-Control', 'no-store');
@@ -61,14 +61,14 @@
   response.flushHeaders();
 }
 
-async function write(response: Response, text: string): Promise<void> {
+async function writeEvent(response: Response, text: string): Promise<void> {
   if (!response.write(text) && !response.destroyed) {
     const closed = new AbortController();
-    const stop = () => closed.abort();
-    response.once('close', stop);
+    const onClose = () => closed.abort();
+    response.once('close', onClose);
     await once(response, 'drain', {signal: closed.signal}).catch(
       () => undefined,
     );
-    response.off('close', stop);
+    response.off('close', onClose);
   }
 }
