--- a/src/operator/in_force.ts
+++ b/src/operator/in_force.ts
@@ -2,30 +2,36 @@
 import {Membership} from '../membership/index.js';
 import {Clock} from '../time/index.js';
 
-/** In which data centres a revision is in force. */
+/** Which data centres a configuration revision is in force in. */
 export interface InForceReport {
   readonly revision: number;
-  /** Data centres in which every live host has it. */
+  /** Data centres in which the revision is in force on every live host. */
   readonly inForce: readonly string[];
-  /** Data centres that have not said so, with their silent or older hosts. */
+  /** Data centres that have not confirmed the revision. */
   readonly pending: readonly PendingCentre[];
 }
 
 /** A data centre in which a revision is not known to be in force. */
 export interface PendingCentre {
   readonly dataCentre: string;
+  /**
+   * Hosts that do not respond or have a lower revision, or that report a lower
+   * revision for their data centre. Entries that begin with "this host" concern the
+   * host that reports. Empty if no host of the data centre is known.
+   */
   readonly hosts: readonly string[];
 }
 
+/** Pause between two checks while waiting, in milliseconds. */
 const POLL_MS = 25;
 
-/** Finds out where a revision is in force. */
+/** Determines in which data centres a revision is in force. */
 export class InForce {
   /**
    * @param dataCentre - Data centre of this host.
    * @param configuration - Configuration of this host.
-   * @param membership - Tells which hosts there are, and their revisions.
-   * @param clock - Measures the waits.
+   * @param membership - The known hosts and the revisions they report.
+   * @param clock - Clock for the wait.
    */
   constructor(
     private readonly dataCentre: string,
@@ -35,9 +41,10 @@
   ) {}
 
   /**
-   * Waits until a revision is in force in every data centre heard of.
+   * Waits until a revision is in force in every known data centre.
    * @param revision - The revision.
    * @param limitMs - Longest wait, in milliseconds.
+   * @returns The last report; after the limit it may list pending data centres.
    */
   async wait(revision: number, limitMs: number): Promise<InForceReport> {
     const endMs = this.clock.monotonicMs() + limitMs;
@@ -50,12 +57,12 @@
     }
   }
 
-  /** Reports where a revision is in force as far as is known now. */
+  /** Returns where a revision is in force, as far as this host knows now. */
   getReport(revision: number): InForceReport {
     const pending = new Map<string, string[]>();
     const centres = new Set<string>([this.dataCentre]);
     if (!this.membership.hasList()) {
-      // It cannot speak for hosts that it may not even know of.
+      // Without the host list there may be hosts that this host does not know.
       pending.set(this.dataCentre, ['this host has not read the host list']);
     }
     if (this.configuration.getRevision() < revision) {
@@ -64,19 +71,19 @@
     for (const known of this.membership.listKnown()) {
       centres.add(known.dataCentre);
       const here = known.dataCentre === this.dataCentre;
-      const heard = here
+      const reportedRevision = here
         ? known.status?.revision
         : known.status?.centreRevision;
       const current =
-        this.membership.isAlive(known) && (heard ?? 0) >= revision;
-      if (!current && this.counts(known.host)) {
+        this.membership.isAlive(known) && (reportedRevision ?? 0) >= revision;
+      if (!current && this.mustConfirm(known.host)) {
         const hosts = pending.get(known.dataCentre) ?? [];
         pending.set(known.dataCentre, [...hosts, known.host]);
       }
     }
     for (const server of this.configuration.getView().servers.values()) {
       if (!centres.has(server.dataCentre)) {
-        // It has servers, so it has hosts; none of them has been heard of.
+        // A data centre with servers has hosts too, but none of them is known yet.
         centres.add(server.dataCentre);
         pending.set(server.dataCentre, []);
       }
@@ -90,16 +97,18 @@
   }
 
   /**
-   * A host that only others have heard counts through its data centre's
-   * summary; a host that is silent counts as cut off, until it is forgotten.
+   * Returns whether a host must confirm a revision itself. A live host that is
+   * known only through its peers need not: the revision that its data centre
+   * reports covers it. A host that does not respond must, since it may only be cut
+   * off, until it is removed from the membership.
    */
-  private counts(host: string): boolean {
+  private mustConfirm(host: string): boolean {
     const known = this.membership.getHost(host);
     if (known === undefined) {
       return false;
     }
-    const onlyHeardOf =
+    const knownIndirectly =
       known.status === undefined && this.membership.isAlive(known);
-    return !onlyHeardOf;
+    return !knownIndirectly;
   }
 }
--- a/src/operator/openapi.ts
+++ b/src/operator/openapi.ts
@@ -1,32 +1,39 @@
 /** The OpenAPI description of the operators' interface. */
 
-/** One operation of the description. */
+/** An operation in the description. */
 interface Operation {
   readonly summary: string;
+  /** Whether an operator key is required. */
   readonly security: boolean;
+  /** Names of the path parameters. */
   readonly parameters?: readonly string[];
+  /** Description of each response, by status code. */
   readonly responses: Readonly<Record<string, string>>;
 }
 
-const RECORD = ['kind', 'name'];
-const PROBLEM_401 = 'No operator key, or an unknown one.';
+const RECORD_PARAMETERS = ['kind', 'name'];
+const UNAUTHORIZED = 'The operator key is missing or unknown.';
 
-/** Every route of the interface: path, then method. */
+/** All routes of the interface, by path and method. */
 const OPERATIONS: Readonly<
   Record<string, Readonly<Record<string, Operation>>>
 > = {
   '/health': {
     get: {
-      summary: 'Tells that the process runs.',
+      summary: 'Reports that the process is running.',
       security: false,
-      responses: {200: 'It runs.'},
+      responses: {200: 'The process is running.'},
     },
   },
   '/ready': {
     get: {
-      summary: 'Tells whether the balancer should send requests here.',
+      summary:
+        'Reports whether the load balancer should send requests to this host.',
       security: false,
-      responses: {200: 'It should.', 503: 'It should not; reasons are given.'},
+      responses: {
+        200: 'The host is ready.',
+        503: 'The host is not ready; the reasons are listed.',
+      },
     },
   },
   '/metrics': {
@@ -48,53 +55,61 @@
       summary: 'Lists the records of one kind.',
       security: true,
       parameters: ['kind'],
-      responses: {200: 'The records.', 401: PROBLEM_401, 404: 'No such kind.'},
+      responses: {
+        200: 'The records.',
+        401: UNAUTHORIZED,
+        404: 'There is no such kind of record.',
+      },
     },
   },
   '/admin/v1/records/{kind}/{name}': {
     get: {
       summary: 'Gets one record; its revision is the ETag.',
       security: true,
-      parameters: RECORD,
-      responses: {200: 'The record.', 401: PROBLEM_401, 404: 'No record.'},
+      parameters: RECORD_PARAMETERS,
+      responses: {
+        200: 'The record.',
+        401: UNAUTHORIZED,
+        404: 'There is no such record.',
+      },
     },
     put: {
       summary:
         'Creates (If-None-Match: *) or changes (If-Match: ETag) a record.',
       security: true,
-      parameters: RECORD,
+      parameters: RECORD_PARAMETERS,
       responses: {
         200: 'In force in every data centre.',
-        202: 'Accepted; the named data centres have not said so yet.',
-        401: PROBLEM_401,
-        412: 'Another change came first; the winner is given.',
-        422: 'The record has mistakes; all are given.',
-        428: 'The change does not say which revision it was made on.',
-        503: 'The table service does not answer.',
+        202: 'Accepted; the listed data centres have not confirmed it yet.',
+        401: UNAUTHORIZED,
+        412: 'Conflict with an earlier change; the current record is included.',
+        422: 'The record is invalid; all mistakes are listed.',
+        428: 'The request does not state the revision that the change is based on.',
+        503: 'The table service does not respond.',
       },
     },
     delete: {
       summary: 'Deletes a record (If-Match: ETag).',
       security: true,
-      parameters: RECORD,
+      parameters: RECORD_PARAMETERS,
       responses: {
         200: 'In force in every data centre.',
-        202: 'Accepted; the named data centres have not said so yet.',
-        401: PROBLEM_401,
-        412: 'Another change came first; the winner is given.',
-        428: 'The change does not say which revision it was made on.',
-        503: 'The table service does not answer.',
+        202: 'Accepted; the listed data centres have not confirmed it yet.',
+        401: UNAUTHORIZED,
+        412: 'Conflict with an earlier change; the current record is included.',
+        428: 'The request does not state the revision that the change is based on.',
+        503: 'The table service does not respond.',
       },
     },
   },
   '/admin/v1/validate': {
     post: {
-      summary: 'Checks a record without writing it.',
+      summary: 'Validates a record without writing it.',
       security: true,
       responses: {
-        200: 'It is valid.',
-        401: PROBLEM_401,
-        422: 'The record has mistakes; all are given.',
+        200: 'The record is valid.',
+        401: UNAUTHORIZED,
+        422: 'The record is invalid; all mistakes are listed.',
       },
     },
   },
@@ -102,28 +117,36 @@
     get: {
       summary: 'State of hosts, data centres, servers and revisions.',
       security: true,
-      responses: {200: 'The state.', 401: PROBLEM_401},
+      responses: {200: 'The state.', 401: UNAUTHORIZED},
     },
   },
   '/admin/v1/hosts/{host}/drain': {
     post: {
-      summary: 'Makes an entry host refuse new work.',
+      summary: 'Starts the drain of an entry host: it refuses new work.',
       security: true,
       parameters: ['host'],
-      responses: {200: 'Done.', 401: PROBLEM_401, 404: 'Not reached.'},
+      responses: {
+        200: 'Done.',
+        401: UNAUTHORIZED,
+        404: 'The host was not reached.',
+      },
     },
   },
   '/admin/v1/hosts/{host}/undrain': {
     post: {
-      summary: 'Makes an entry host take work again.',
+      summary: 'Ends the drain of an entry host: it accepts new work again.',
       security: true,
       parameters: ['host'],
-      responses: {200: 'Done.', 401: PROBLEM_401, 404: 'Not reached.'},
+      responses: {
+        200: 'Done.',
+        401: UNAUTHORIZED,
+        404: 'The host was not reached.',
+      },
     },
   },
 };
 
-/** Builds the OpenAPI 3.1 document. */
+/** Creates the OpenAPI 3.1 document. */
 export function createOpenApi(): Record<string, unknown> {
   const paths: Record<string, unknown> = {};
   for (const [path, methods] of Object.entries(OPERATIONS)) {
--- a/src/operator/operator_api.ts
+++ b/src/operator/operator_api.ts
@@ -21,26 +21,28 @@
 import {RecordChange, RecordChanges} from './record_changes.js';
 import {SystemStatus} from './system_status.js';
 
-/** What the operators' interface works with. */
+/** Dependencies and settings of the operators' interface. */
 export interface OperatorApiOptions {
+  /** Hashes of the operators' bearer keys. */
   readonly keyHashes: readonly string[];
   readonly store: ConfigurationStore;
   readonly changes: RecordChanges;
   readonly metrics: Metrics;
   readonly getStatus: () => SystemStatus;
-  /** Returns why the host is not ready; empty when it is. */
-  readonly listUnready: () => readonly string[];
-  /** Drains or undrains an entry host; returns whether it was reached. */
+  /** Returns the reasons why this host is not ready; empty if it is ready. */
+  readonly listUnreadyReasons: () => readonly string[];
+  /** Starts or ends the drain of an entry host; resolves to whether it was reached. */
   readonly setDrained: (host: string, on: boolean) => Promise<boolean>;
 }
 
-const MAX_BODY = '1mb';
+/** Largest request body; `handleError` reports the same limit in bytes. */
+const MAX_BODY_SIZE = '1mb';
 
-/** The HTTP interface for operators, the balancer and metrics. */
+/** The HTTP interface for operators, the load balancer and metrics collectors. */
 export class OperatorApi {
   constructor(private readonly options: OperatorApiOptions) {}
 
-  /** Builds the express app. */
+  /** Creates the Express application. */
   createApp(): Express {
     const app = express();
     app.disable('x-powered-by');
@@ -49,7 +51,7 @@
     app.use('/admin', (request, response, next) =>
       this.authorize(request, response, next),
     );
-    app.use(express.json({limit: MAX_BODY, type: () => true}));
+    app.use(express.json({limit: MAX_BODY_SIZE, type: () => true}));
     this.addRecordRoutes(app);
     this.addHostRoutes(app);
     app.use((_request, response) => {
@@ -59,13 +61,13 @@
     return app;
   }
 
-  /** Routes without a key: the balancer and metrics collectors have none. */
+  /** Routes without authentication: load balancer and metrics collectors have no key. */
   private addOpenRoutes(app: Express): void {
     app.get('/health', (_request, response) => {
       response.json({status: 'ok'});
     });
     app.get('/ready', (_request, response) => {
-      const unready = this.options.listUnready();
+      const unready = this.options.listUnreadyReasons();
       response
         .status(unready.length === 0 ? 200 : 503)
         .json({ready: unready.length === 0, reasons: unready});
@@ -152,14 +154,14 @@
   private withKind(
     request: Request,
     response: Response,
-    use: (kind: RecordKind) => void,
+    handle: (kind: RecordKind) => void,
   ): void {
     const kind = findKind(String(request.params['kind']));
     if (kind === undefined) {
-      sendProblem(response, unknownKind());
+      sendProblem(response, createUnknownKindProblem());
       return;
     }
-    use(kind);
+    handle(kind);
   }
 
   private async change(
@@ -172,7 +174,9 @@
     if (kind === undefined || madeOn === undefined) {
       sendProblem(
         response,
-        kind === undefined ? unknownKind() : problems.preconditionRequired(),
+        kind === undefined
+          ? createUnknownKindProblem()
+          : problems.preconditionRequired(),
       );
       return;
     }
@@ -205,7 +209,10 @@
   }
 }
 
-/** 200 once in force everywhere; 202 while a data centre has not said so. */
+/**
+ * Sends the result of a change: 200 if it is in force in every data centre, 202 if
+ * a data centre has not confirmed it yet.
+ */
 function sendChange(response: Response, change: RecordChange): void {
   const {record, report} = change;
   response.setHeader('ETag', toETag(record.revision));
@@ -241,7 +248,10 @@
     : wanted;
 }
 
-/** Reads the revision a change was made on; 0 for a record not there yet. */
+/**
+ * Reads the revision that a change is based on from If-Match; 0 for a new record
+ * (`If-None-Match: *`), `undefined` if neither header is valid.
+ */
 function readPrecondition(request: Request): number | undefined {
   if (request.header('if-none-match') === '*') {
     return 0;
@@ -258,7 +268,7 @@
   return Object.values(RecordKind).find(kind => `${kind}s` === text);
 }
 
-function unknownKind(): Problem {
+function createUnknownKindProblem(): Problem {
   const kinds = Object.values(RecordKind).map(kind => `${kind}s`);
   return {
     ...problems.routeUnknown(),
@@ -282,6 +292,6 @@
     response,
     type === 'entity.too.large'
       ? problems.bodyTooLarge(1024 * 1024)
-      : problems.bodyInvalid(message ?? 'it cannot be read'),
+      : problems.bodyInvalid(message ?? 'it could not be parsed'),
   );
 };
--- a/src/operator/record_changes.ts
+++ b/src/operator/record_changes.ts
@@ -15,57 +15,58 @@
 import {Log} from '../log/index.js';
 import {InForce, InForceReport} from './in_force.js';
 
-/** What changes work with. */
+/** Dependencies and settings of record changes. */
 export interface RecordChangesOptions {
   readonly log: Log;
   readonly store: ConfigurationStore;
   readonly table: ConfigurationTable;
   readonly inForce: InForce;
-  /** Brings the new revision to this host at once. */
+  /** Reads the new revision from the table without waiting for the next poll. */
   readonly refresh: () => Promise<void>;
-  /** Longest wait for the table, in milliseconds. */
-  readonly patienceMs: number;
-  /** Longest wait for the change to be in force everywhere, in ms. */
+  /** Longest time to retry a write to the table, in milliseconds. */
+  readonly tableTimeoutMs: number;
+  /** Longest wait until a change is in force in every data centre, in ms. */
   readonly inForceMs: number;
 }
 
-/** A change that was written, and where it is in force. */
+/** A change that has been written, and where it is in force. */
 export interface RecordChange {
   readonly record: StoredRecord;
   readonly report: InForceReport;
 }
 
-/** A change as an operator asks for it. */
-export interface ChangeOrder {
+/** A change that an operator requests. */
+export interface ChangeRequest {
   readonly kind: RecordKind;
   readonly name: string;
   /** New document; null to delete. */
   readonly document: unknown;
-  /** Revision it was made on; 0 for a new record. */
+  /** Revision of the record that the change is based on; 0 for a new record. */
   readonly madeOn: number;
-  /** Whether to skip the check that every name in it is known. */
+  /** Whether to skip the check for references to unknown records. */
   readonly force: boolean;
 }
 
-/** Writes operators' changes and waits until they are in force. */
+/** Writes changes of configuration records and waits until they are in force. */
 export class RecordChanges {
   constructor(private readonly options: RecordChangesOptions) {}
 
   /**
-   * Writes a change.
-   * @param order - The change.
-   * @returns The record with its revision, and where it is in force.
+   * Validates and writes a change, then waits until it is in force in every data
+   * centre, up to `inForceMs`.
+   * @param request - The change.
+   * @returns The record with its new revision, and where it is in force.
    */
-  async apply(order: ChangeOrder): Promise<Result<RecordChange, Problem>> {
-    const checked = this.check(order);
+  async apply(request: ChangeRequest): Promise<Result<RecordChange, Problem>> {
+    const checked = this.check(request);
     if (checked.isErr) {
       return Result.err(checked.error);
     }
     const changeId = randomUUID();
-    const {kind, name, madeOn} = order;
+    const {kind, name, madeOn} = request;
     const written = await this.options.table.write(
       {kind, name, document: checked.value, madeOn, changeId},
-      this.options.patienceMs,
+      this.options.tableTimeoutMs,
     );
     if (written.isErr) {
       return Result.err(toProblem(name, written.error));
@@ -84,8 +85,9 @@
   }
 
   /**
-   * Checks a document without writing it.
+   * Validates a document without writing it.
    * @param document - The document.
+   * @returns The parsed record, or the problem with all mistakes.
    */
   validate(document: unknown): Result<RecordDocument, Problem> {
     const parsed = parseRecord(document);
@@ -99,29 +101,31 @@
       : Result.ok(parsed.value);
   }
 
-  private check(order: ChangeOrder): Result<RecordDocument | null, Problem> {
-    if (order.document === null) {
+  private check(
+    request: ChangeRequest,
+  ): Result<RecordDocument | null, Problem> {
+    if (request.document === null) {
       return Result.ok(null);
     }
-    const parsed = parseRecord(order.document);
+    const parsed = parseRecord(request.document);
     if (parsed.isErr) {
       return Result.err(problems.recordInvalid(parsed.error));
     }
     const {kind, name} = parsed.value;
-    if (kind !== order.kind || name !== order.name) {
+    if (kind !== request.kind || name !== request.name) {
       return Result.err(
         problems.recordInvalid([
-          `kind, name: the path names ${order.kind} "${order.name}", the record ${kind} "${name}"`,
+          `kind, name: the path names ${request.kind} "${request.name}", but the record is ${kind} "${name}"`,
         ]),
       );
     }
-    const mistakes = order.force
+    const mistakes = request.force
       ? []
       : findUnknownReferences(parsed.value, this.options.store.getView());
-    // What the operator wrote is stored, in its own schema version.
+    // The document is stored as the operator wrote it, in its own schema version.
     return mistakes.length > 0
       ? Result.err(problems.recordInvalid(mistakes))
-      : Result.ok(order.document as RecordDocument);
+      : Result.ok(request.document as RecordDocument);
   }
 }
 
--- a/test/operator/openapi_test.ts
+++ b/test/operator/openapi_test.ts
@@ -5,7 +5,7 @@
 import {Metrics} from '../../src/metrics/index.js';
 import {createOpenApi, OperatorApi} from '../../src/operator/index.js';
 
-/** A route as express keeps it. */
+/** An entry of the router stack of Express, as far as it is used here. */
 interface Layer {
   readonly route?: {
     readonly path: string;
@@ -13,7 +13,7 @@
   };
 }
 
-describe('the OpenAPI description', () => {
+describe('createOpenApi', () => {
   function listRoutes(app: Express): string[] {
     const {stack} = app.router as unknown as {stack: readonly Layer[]};
     return stack.flatMap(({route}) =>
@@ -25,14 +25,14 @@
     );
   }
 
-  function listDescribed(): string[] {
+  function listDescribedRoutes(): string[] {
     const {paths} = createOpenApi() as {paths: Record<string, object>};
     return Object.entries(paths).flatMap(([path, methods]) =>
       Object.keys(methods).map(method => `${method} ${path}`),
     );
   }
 
-  it('names every route of the interface, and no other', () => {
+  it('lists exactly the routes of the interface', () => {
     const unused = () => {
       throw new Error('not called');
     };
@@ -42,9 +42,9 @@
       changes: undefined as never,
       metrics: new Metrics(),
       getStatus: unused,
-      listUnready: unused,
+      listUnreadyReasons: unused,
       setDrained: unused,
     }).createApp();
-    expect(listRoutes(app).sort()).to.eql(listDescribed().sort());
+    expect(listRoutes(app).sort()).to.eql(listDescribedRoutes().sort());
   });
 });
