--- a/src/daemon/configuration_feed.ts
+++ b/src/daemon/configuration_feed.ts
@@ -8,7 +8,7 @@
 import {rankByRendezvous} from '../random/index.js';
 import {Clock} from '../time/index.js';
 
-/** What the feed works with. */
+/** Dependencies and settings of the configuration feed. */
 export interface ConfigurationFeedOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -16,25 +16,27 @@
   readonly table: ConfigurationTable;
   readonly requestPeer: Peers['request'];
   readonly host: string;
+  /** Returns the names of the live hosts of this data centre, this one included. */
   readonly listLiveNamesHere: () => readonly string[];
+  /** Pause between two reads of the table, in milliseconds. */
   readonly pollMs: number;
 }
 
-/** Hosts of each data centre that read the table. */
-const READERS_PER_CENTRE = 2;
+/** Number of hosts per data centre that poll the table. */
+const READERS_PER_DATA_CENTRE = 2;
 const READER_ROLE = 'configuration-reader';
 const PULL_TIMEOUT_MS = 1500;
 
 /**
- * Brings higher revisions to this host: from the table if it is one of the
- * readers of its data centre, and from any peer that has one.
+ * Fetches higher configuration revisions: from the table if this host is one of
+ * the readers of its data centre, and from any peer that has a higher revision.
  */
 export class ConfigurationFeed {
   private pulling = false;
 
   constructor(private readonly options: ConfigurationFeedOptions) {}
 
-  /** Looks at the table until aborted. */
+  /** Polls the table until aborted, while this host is a reader. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.isReader()) {
@@ -44,7 +46,7 @@
     }
   }
 
-  /** Reads the table if its revision is higher. */
+  /** Reads the records from the table if its revision is higher than this host's. */
   async readTable(): Promise<void> {
     const {store, table} = this.options;
     const revision = await table.getRevision();
@@ -58,8 +60,9 @@
   }
 
   /**
-   * Pulls what changed from a peer that has a higher revision.
-   * @param host - The peer.
+   * Fetches the changes from a peer that has a higher revision. Does nothing while
+   * another pull is in progress.
+   * @param host - Name of the peer.
    */
   async pull(host: string): Promise<void> {
     if (this.pulling) {
@@ -74,8 +77,8 @@
     );
     this.pulling = false;
     if (reply.isOk) {
-      // Peers have proved that they know the shared key; what they send was
-      // checked when it was accepted.
+      // Not validated again: peers are authenticated by the shared key, and the
+      // records were validated when they were accepted.
       this.options.store.apply(reply.value as ConfigurationDelta, host);
     }
   }
@@ -86,7 +89,7 @@
       return true;
     }
     return rankByRendezvous(READER_ROLE, listLiveNamesHere())
-      .slice(0, READERS_PER_CENTRE)
+      .slice(0, READERS_PER_DATA_CENTRE)
       .includes(host);
   }
 }
--- a/src/daemon/container/bind_callers.ts
+++ b/src/daemon/container/bind_callers.ts
@@ -1,4 +1,4 @@
-/** The callers' interface. */
+/** Bindings of the callers' interface. */
 import {Container, ResolutionContext} from 'inversify';
 import {UsageCounter} from '../../admission/index.js';
 import {
@@ -18,16 +18,16 @@
 import {OnceCalls, ServiceDispatcher} from '../../service/index.js';
 import {Drain} from '../drain.js';
 import {CLOCK, LOG, RANDOM, SELF, SETTINGS} from '../identifiers.js';
-import {RemoteGenerations} from '../remote_generations.js';
+import {RemoteGenerationReader} from '../remote_generation_reader.js';
 import {bind} from '../../container/index.js';
 
-/** Binds the parts. */
+/** Binds the callers' interface and its handlers. */
 export function bindCallers(container: Container): void {
   bind(
     container,
-    RemoteGenerations,
+    RemoteGenerationReader,
     context =>
-      new RemoteGenerations(
+      new RemoteGenerationReader(
         context.get(SELF).host,
         context.get(Peers),
         context.get(BookDirectory),
@@ -39,7 +39,7 @@
     const calls = context.get(OnceCalls);
     const store = context.get(GenerationStore);
     const directory = context.get(ServerDirectory);
-    const remote = context.get(RemoteGenerations);
+    const remote = context.get(RemoteGenerationReader);
     return new CallerApi(
       caller,
       new GenerationHandler(caller, {
@@ -91,8 +91,9 @@
 }
 
 /**
- * Sums the places of the engines that were heard. While none was, nobody can say
- * what a share is, and none is held.
+ * Sums the capacity of the engines whose load is known, in concurrent
+ * generations. Infinite while no capacity is known: customers' shares cannot be
+ * computed then and are not enforced.
  */
 function sumCapacity(directory: ServerDirectory): number {
   let capacity = 0;
--- a/src/daemon/container/bind_generations.ts
+++ b/src/daemon/container/bind_generations.ts
@@ -1,4 +1,4 @@
-/** Generations: their store, runner and reclaim. */
+/** Bindings of the store and runner of generations, and of the reclaim watch. */
 import {Container} from 'inversify';
 import {ConfigurationStore} from '../../configuration/index.js';
 import {
@@ -21,12 +21,12 @@
 import {bind} from '../../container/index.js';
 import {createIsLeaving} from './create_is_leaving.js';
 
-/** Tokens a second at which a KV cache moves between engines. */
-const CACHE_TRANSFER_RATE = 20_000;
-/** KV caches that survivors take in at once. */
-const IMPORT_SLOTS = 8;
+/** Rate at which a KV cache is transferred between engines, in tokens per second. */
+const CACHE_TRANSFER_TOKENS_PER_S = 20_000;
+/** KV caches that the remaining engines import at the same time. */
+const MAX_PARALLEL_IMPORTS = 8;
 
-/** Binds the parts. */
+/** Binds the components that run and keep generations. */
 export function bindGenerations(container: Container): void {
   bind(container, AnswerLengths, () => new AnswerLengths());
   bind(container, RunningGenerations, () => new RunningGenerations());
@@ -78,8 +78,8 @@
       lengths: context.get(AnswerLengths),
       runner: context.get(GenerationRunner),
       getRemainingMs: server => leavingHosts.getRemainingMs(server),
-      transferRate: CACHE_TRANSFER_RATE,
-      importSlots: IMPORT_SLOTS,
+      transferRate: CACHE_TRANSFER_TOKENS_PER_S,
+      importSlots: MAX_PARALLEL_IMPORTS,
     });
   });
 }
--- a/src/daemon/container/bind_journal.ts
+++ b/src/daemon/container/bind_journal.ts
@@ -1,4 +1,4 @@
-/** Calls that may run at most once: books, dispatch and their peers. */
+/** Bindings of at-most-once calls: books, dispatch and exchange with peers. */
 import {Container, ResolutionContext} from 'inversify';
 import {Result} from 'true-myth';
 import {ConfigurationStore} from '../../configuration/index.js';
@@ -17,12 +17,12 @@
 import {bind} from '../../container/index.js';
 import {createIsLeaving} from './create_is_leaving.js';
 
-/** Pause between tries of an accepted call, in milliseconds. */
+/** Pause between attempts of an accepted call, in milliseconds. */
 const ACCEPTED_RETRY_MS = 1000;
 const JOURNAL_RETRY_MS = 100;
 const MS_PER_SECOND = 1000;
 
-/** Binds the parts. */
+/** Binds the journal and the dispatch of service calls. */
 export function bindJournal(container: Container): void {
   bind(
     container,
@@ -112,18 +112,18 @@
       const reply = await container
         .get(Peers)
         .request(host, body, 2 * MS_PER_SECOND);
-      return isTaken(reply);
+      return isAccepted(reply);
     },
     sendOutcome: async (host, book, entry) => {
       const body = {kind: 'late-outcome', book, entry};
-      return isTaken(
+      return isAccepted(
         await container.get(Peers).request(host, body, MS_PER_SECOND),
       );
     },
   });
 }
 
-/** Tells whether a peer has taken what it was sent. */
-function isTaken(reply: Result<unknown, PeerFailure>): boolean {
+/** Returns whether a peer replied that it has accepted what it was sent. */
+function isAccepted(reply: Result<unknown, PeerFailure>): boolean {
   return reply.isOk && (reply.value as {taken?: boolean}).taken === true;
 }
--- a/src/daemon/container/bind_operators.ts
+++ b/src/daemon/container/bind_operators.ts
@@ -1,4 +1,4 @@
-/** The operators' interface, draining, and the daemon itself. */
+/** Bindings of the operators' interface, the drain and the daemon. */
 import {Container, ResolutionContext} from 'inversify';
 import {CallerApi} from '../../caller/index.js';
 import {
@@ -23,10 +23,11 @@
 import {StatusBuilder} from '../status_builder.js';
 import {bind} from '../../container/index.js';
 
-const CHANGE_PATIENCE_MS = 5000;
+/** Longest time to retry the write of a configuration change, in milliseconds. */
+const CHANGE_TIMEOUT_MS = 5000;
 const MS_PER_SECOND = 1000;
 
-/** Binds the parts. */
+/** Binds the operators' interface, the drain and the daemon. */
 export function bindOperators(container: Container): void {
   bind(
     container,
@@ -101,7 +102,7 @@
       context.get(CLOCK),
     ),
     refresh: () => feed.readTable(),
-    patienceMs: CHANGE_PATIENCE_MS,
+    tableTimeoutMs: CHANGE_TIMEOUT_MS,
     inForceMs: settings.configuration.in_force_ms,
   });
   return new OperatorApi({
@@ -110,10 +111,10 @@
     changes,
     metrics: context.get(Metrics),
     getStatus: () => context.get(StatusBuilder).build(),
-    listUnready: () => {
+    listUnreadyReasons: () => {
       const reasons: string[] = [];
       if (store.getRevision() === 0) {
-        reasons.push('no configuration has been learnt yet');
+        reasons.push('no configuration has been received yet');
       }
       if (container.get(Drain).isDraining()) {
         reasons.push('this host is draining');
@@ -122,7 +123,7 @@
     },
     setDrained: async (host, on) => {
       if (host === self.host) {
-        container.get(Drain).set(on);
+        container.get(Drain).setDraining(on);
         return true;
       }
       const body = {kind: 'drain', on};
--- a/src/daemon/container/bind_peers.ts
+++ b/src/daemon/container/bind_peers.ts
@@ -1,4 +1,4 @@
-/** Peers: connections, heartbeats and what they bring. */
+/** Bindings of the connections to peers, heartbeats and what they update. */
 import {Container, ResolutionContext} from 'inversify';
 import {UsageCounter} from '../../admission/index.js';
 import {
@@ -16,10 +16,10 @@
 import {Heartbeats} from '../heartbeats.js';
 import {CLOCK, LOG, RANDOM, SELF, SETTINGS} from '../identifiers.js';
 import {LoadPoller} from '../load_poller.js';
-import {PeerRequests} from '../peer_requests.js';
+import {PeerRequestHandler} from '../peer_request_handler.js';
 import {bind} from '../../container/index.js';
 
-/** Binds the parts. */
+/** Binds the exchange with peers: connections, heartbeats and configuration. */
 export function bindPeers(container: Container): void {
   bind(container, LoadPoller, context => {
     const membership = context.get(Membership);
@@ -68,9 +68,9 @@
   });
   bind(
     container,
-    PeerRequests,
+    PeerRequestHandler,
     context =>
-      new PeerRequests({
+      new PeerRequestHandler({
         clock: context.get(CLOCK),
         log: context.get(LOG),
         configuration: context.get(ConfigurationStore),
@@ -78,7 +78,7 @@
         heartbeats: context.get(Heartbeats),
         store: context.get(GenerationStore),
         runner: context.get(GenerationRunner),
-        setDrained: on => container.get(Drain).set(on),
+        setDrained: on => container.get(Drain).setDraining(on),
       }),
   );
 }
@@ -94,7 +94,8 @@
       key: peers.key,
       maxFrameBytes: peers.max_frame_bytes,
       idleLimitMs: 2 * (peers.heartbeat_ms + peers.silence_ms),
-      handle: (...request) => container.get(PeerRequests).handle(...request),
+      handle: (...request) =>
+        container.get(PeerRequestHandler).handle(...request),
       clock: context.get(CLOCK),
       log: context.get(LOG),
     },
--- a/src/daemon/container/bind_placement.ts
+++ b/src/daemon/container/bind_placement.ts
@@ -1,4 +1,4 @@
-/** Placement: claimed by one host of each data centre at a time. */
+/** Bindings of placement, which one host per data centre performs under a lease. */
 import {Container} from 'inversify';
 import {ConfigurationStore, ServerKind} from '../../configuration/index.js';
 import {Lease} from '../../lease/index.js';
@@ -9,12 +9,12 @@
 import {createIsLeaving} from './create_is_leaving.js';
 
 const LEASE_MS = 6000;
-const MARGIN_MS = 1000;
+const LEASE_MARGIN_MS = 1000;
 const POLL_MS = 2000;
-/** Loads that the weight store allows a data centre per second. */
+/** Model and adapter loads per second that the weight store allows a data centre. */
 const LOADS_PER_SECOND = 0.5;
 
-/** Binds the parts. */
+/** Binds the placer and its lease. */
 export function bindPlacement(container: Container): void {
   bind(container, Lease, context => {
     const self = context.get(SELF);
@@ -24,7 +24,7 @@
       role: `placement/${self.dataCentre}`,
       holder: `${self.host}/${self.incarnation}`,
       durationMs: LEASE_MS,
-      marginMs: MARGIN_MS,
+      marginMs: LEASE_MARGIN_MS,
     });
   });
   bind(container, Placer, context => {
@@ -44,7 +44,7 @@
             server =>
               server.kind === ServerKind.ENGINE &&
               server.dataCentre === dataCentre &&
-              // What is loaded is not known before the first report.
+              // The loaded models are unknown until the first load report.
               directory.getLoad(server.name) !== undefined,
           )
           .map(server => ({
--- a/src/daemon/container/bind_knowledge.ts
+++ b/src/daemon/container/bind_system_state.ts
@@ -1,4 +1,4 @@
-/** What a host knows: configuration, membership, servers and usage. */
+/** Bindings of the state a host keeps: configuration, membership, servers and usage. */
 import {Container} from 'inversify';
 import {UsageCounter} from '../../admission/index.js';
 import {
@@ -18,8 +18,8 @@
 import {CLIENTS, CLOCK, LOG, SELF, SETTINGS, TABLE} from '../identifiers.js';
 import {bind} from '../../container/index.js';
 
-/** Binds the parts. */
-export function bindKnowledge(container: Container): void {
+/** Binds configuration, membership, servers, quarantine and usage. */
+export function bindSystemState(container: Container): void {
   bind(container, Metrics, () => createMetrics());
   bind(
     container,
--- a/src/daemon/container/create_container.ts
+++ b/src/daemon/container/create_container.ts
@@ -1,16 +1,20 @@
-/** Puts the parts of the daemon together, by inversify. */
+/** Composition of the daemon with inversify. */
 import {Container} from 'inversify';
 import {bindCallers} from './bind_callers.js';
 import {bindGenerations} from './bind_generations.js';
 import {bindJournal} from './bind_journal.js';
-import {bindKnowledge} from './bind_knowledge.js';
+import {bindSystemState} from './bind_system_state.js';
 import {bindOperators} from './bind_operators.js';
 import {bindPlacement} from './bind_placement.js';
 import {bindPeers} from './bind_peers.js';
 
+/**
+ * Creates the container. The caller has to bind the services in `identifiers.ts`
+ * before it resolves the daemon.
+ */
 export function createContainer(): Container {
   const container = new Container({defaultScope: 'Singleton'});
-  bindKnowledge(container);
+  bindSystemState(container);
   bindJournal(container);
   bindGenerations(container);
   bindPeers(container);
--- a/src/daemon/container/create_is_leaving.ts
+++ b/src/daemon/container/create_is_leaving.ts
@@ -2,7 +2,7 @@
 import {ConfigurationStore} from '../../configuration/index.js';
 import {LeavingHosts} from '../../membership/index.js';
 
-/** Makes the question whether a server gets no new work. */
+/** Creates the predicate that tells whether a server must get no new work. */
 export function createIsLeaving(
   context: ResolutionContext,
 ): (server: string) => boolean {
--- a/src/daemon/create_metrics.ts
+++ b/src/daemon/create_metrics.ts
@@ -1,6 +1,6 @@
 import {Metrics} from '../metrics/index.js';
 
-/** Declares the metrics of the daemon; docs/OPERATIONS.md says how to read them. */
+/** Declares the metrics of the daemon, which docs/OPERATIONS.md explains. */
 export function createMetrics(): Metrics {
   const metrics = new Metrics();
   metrics.addCounter('generations_total', 'Generations by outcome');
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -17,7 +17,7 @@
 import {PlatformWatcher} from './platform_watcher.js';
 import {Self} from './self.js';
 
-/** The parts of a daemon. */
+/** Components of the daemon. */
 export interface DaemonOptions {
   readonly settings: Settings;
   readonly self: Self;
@@ -40,11 +40,12 @@
   readonly quarantineRows: QuarantineRows;
 }
 
-const TRIM_MS = 1000;
-/** Notice kept in hand when this host itself is taken back, in ms. */
+/** Pause between two clean-ups of the generation store, in milliseconds. */
+const TRIM_INTERVAL_MS = 1000;
+/** Part of a reclaim notice of this host that the drain leaves unused, in ms. */
 const NOTICE_MARGIN_MS = 1500;
 
-/** One entry host: starts the parts, and stops them in order. */
+/** The process of an entry host: starts the components and stops them in order. */
 export class Daemon {
   private readonly callers: HttpServer;
   private readonly operators: HttpServer;
@@ -59,12 +60,12 @@
     this.addGauges();
   }
 
-  /** Number of callers' requests being answered. */
+  /** Returns the number of callers' requests in flight. */
   countInFlight(): number {
     return this.callers.countInFlight();
   }
 
-  /** Listens and starts every task; returns once callers can connect. */
+  /** Starts listening and all background tasks; resolves once callers can connect. */
   async start(): Promise<void> {
     const {settings, self, log, peers} = this.options;
     const {host, port} = splitAddress(settings.peers.address);
@@ -81,7 +82,7 @@
   }
 
   /**
-   * Stops without cutting off a request.
+   * Drains this host and stops. Further calls return the promise of the first.
    * @param graceMs - Longest time to wait for work in flight, in milliseconds.
    */
   stop(graceMs: number): Promise<void> {
@@ -90,8 +91,8 @@
   }
 
   /**
-   * Stops as the platform takes this host back.
-   * @param remainingMs - Notice left, in milliseconds.
+   * Stops because the platform reclaims this host.
+   * @param remainingMs - Time until the host is reclaimed, in milliseconds.
    */
   leaveOnNotice(remainingMs: number): void {
     const {settings, log} = this.options;
@@ -102,7 +103,7 @@
     void this.stop(Math.min(settings.drain.grace_ms, usableMs));
   }
 
-  /** Resolves once the daemon has stopped, whoever asked for it. */
+  /** Resolves once the daemon has stopped, for whatever reason. */
   waitForStop(): Promise<void> {
     return new Promise(resolve => {
       this.stopped.signal.addEventListener('abort', () => resolve(), {
@@ -116,7 +117,7 @@
     await drain.leave(graceMs);
     this.callers.stopListening();
     while (this.callers.countInFlight() > 0) {
-      // Streams that were handed on are ending now.
+      // The streams of generations that were handed over are ending now.
       await clock.sleep(10);
       if (this.options.store.listRunning().length === 0) {
         break;
@@ -144,13 +145,13 @@
     void reclaimWatch.run(signal);
     void this.options.placer.run(signal);
     void this.options.quarantineRows.run(signal);
-    void this.trim(signal);
+    void this.trimStore(signal);
   }
 
-  private async trim(signal: AbortSignal): Promise<void> {
+  private async trimStore(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.options.store.trim();
-      await this.options.clock.sleep(TRIM_MS, signal);
+      await this.options.clock.sleep(TRIM_INTERVAL_MS, signal);
     }
   }
 
--- a/src/daemon/drain.ts
+++ b/src/daemon/drain.ts
@@ -6,7 +6,7 @@
 import {Clock} from '../time/index.js';
 import {toGenerationRecord} from './generation_record.js';
 
-/** What draining works with. */
+/** Dependencies and settings of the drain. */
 export interface DrainOptions {
   readonly clock: Clock;
   readonly log: Log;
@@ -15,39 +15,42 @@
   readonly store: GenerationStore;
   readonly peers: Peers;
   readonly dataCentre: string;
-  /** Returns the number of callers' requests in progress. */
+  /** Returns the number of callers' requests in flight on this host. */
   readonly countInFlight: () => number;
-  /** Time given to the balancer before new work is refused, in ms. */
+  /** Time for the load balancer to notice the drain before new work is refused, in ms. */
   readonly noticeMs: number;
 }
 
-const POLL_MS = 25;
-const FLUSH_MS = 2000;
+/** Pause between two checks for remaining work, in milliseconds. */
+const WORK_POLL_MS = 25;
+/** Longest wait for the journal to be written, in milliseconds. */
+const FLUSH_TIMEOUT_MS = 2000;
+/** Timeout for handing one generation to a peer, in milliseconds. */
 const SEND_TIMEOUT_MS = 2000;
 
-/** Takes a host out of service without cutting off a request. */
+/** Takes this host out of service without interrupting requests in flight. */
 export class Drain {
   private refusing = false;
   private drained = false;
 
   constructor(private readonly options: DrainOptions) {}
 
-  /** Tells whether new work is refused. */
+  /** Returns whether new work is refused. */
   isRefusing(): boolean {
     return this.refusing;
   }
 
-  /** Tells whether the balancer should send nothing here. */
+  /** Returns whether the load balancer should send no requests to this host. */
   isDraining(): boolean {
     return this.drained;
   }
 
   /**
-   * Stops or resumes taking new work. Work that comes during the notice is
-   * still taken, since the balancer learns of the drain with a delay.
+   * Starts or ends a drain. New work is still accepted for `noticeMs` after the
+   * start, since the load balancer notices the drain with a delay.
    * @param on - Whether to drain.
    */
-  set(on: boolean): void {
+  setDraining(on: boolean): void {
     if (this.drained === on) {
       return;
     }
@@ -67,27 +70,29 @@
   }
 
   /**
-   * Drains for good: finishes or hands on everything.
-   * @param graceMs - Longest time to wait for work in flight, in milliseconds.
+   * Drains this host before it stops: waits for work in flight and hands over books
+   * and unfinished generations to peers.
+   * @param graceMs - Longest time to wait for work in flight, in milliseconds;
+   *   `noticeMs` if that is longer.
    */
   async leave(graceMs: number): Promise<void> {
     const {clock, log, noticeMs} = this.options;
-    const endMs = clock.monotonicMs() + Math.max(noticeMs, graceMs);
-    this.set(true);
+    const deadlineMs = clock.monotonicMs() + Math.max(noticeMs, graceMs);
+    this.setDraining(true);
     await clock.sleep(noticeMs);
     this.refusing = true;
-    // Slot books move at once: a peer can serve their keys from now on.
+    // Slot books are handed over at once, so that a peer can serve their keys.
     const successors = this.listSuccessors();
     const handedOver = this.options.bookkeeper.handOver(successors);
-    while (this.countWork() > 0 && clock.monotonicMs() < endMs) {
-      await clock.sleep(POLL_MS);
+    while (this.countWork() > 0 && clock.monotonicMs() < deadlineMs) {
+      await clock.sleep(WORK_POLL_MS);
     }
     await Promise.race([
       handedOver,
-      clock.sleep(Math.max(POLL_MS, endMs - clock.monotonicMs())),
+      clock.sleep(Math.max(WORK_POLL_MS, deadlineMs - clock.monotonicMs())),
     ]);
     await this.handOverGenerations(successors);
-    await this.options.bookkeeper.flush(FLUSH_MS);
+    await this.options.bookkeeper.flush(FLUSH_TIMEOUT_MS);
     log.info('drained', {left: this.countWork()});
   }
 
@@ -99,16 +104,16 @@
     );
   }
 
-  /** Live peers, those of this data centre first. */
+  /** Returns the live peers of this data centre, or all live peers if it has none. */
   private listSuccessors(): string[] {
     const {membership, dataCentre} = this.options;
     const peers = membership.listLivePeers();
-    const here = peers.filter(peer => peer.dataCentre === dataCentre);
-    const chosen = here.length > 0 ? here : peers;
+    const local = peers.filter(peer => peer.dataCentre === dataCentre);
+    const chosen = local.length > 0 ? local : peers;
     return chosen.map(peer => peer.host);
   }
 
-  /** Passes on what did not finish; its callers resume through other hosts. */
+  /** Hands over unfinished generations; their callers resume through other hosts. */
   private async handOverGenerations(
     successors: readonly string[],
   ): Promise<void> {
--- a/src/daemon/generation_record.ts
+++ b/src/daemon/generation_record.ts
@@ -4,7 +4,7 @@
 
 const MAX_URGENCY = 7;
 
-/** Schema of a generation on its way from one host to another. */
+/** Schema of a generation that is transferred between hosts. */
 export const generationRecordSchema = z.object({
   id: z.string(),
   customer: z.string(),
@@ -13,18 +13,19 @@
   format: z.enum(Object.values(GenerationFormat)),
   body: z.record(z.string(), z.unknown()),
   urgency: z.number().int().min(0).max(MAX_URGENCY),
-  /** Time left until it is due, in milliseconds. */
+  /** Time until the deadline, in milliseconds. */
   remainingMs: z.number(),
+  /** Texts of the tokens generated so far. */
   texts: z.array(z.string()),
 });
 
-/** A generation on its way from one host to another. */
+/** A generation that is transferred between hosts. */
 export type GenerationRecord = z.output<typeof generationRecordSchema>;
 
 /**
- * Writes a generation as a record.
+ * Converts a generation to a record.
  * @param generation - The generation.
- * @param nowMs - Monotonic time.
+ * @param nowMs - Current monotonic time of this host.
  */
 export function toGenerationRecord(
   generation: Generation,
@@ -40,9 +41,9 @@
 }
 
 /**
- * Reads a generation from a record.
+ * Restores a generation from a record.
  * @param record - The record.
- * @param nowMs - Monotonic time.
+ * @param nowMs - Current monotonic time of this host.
  */
 export function fromGenerationRecord(
   record: GenerationRecord,
--- a/src/daemon/heartbeats.ts
+++ b/src/daemon/heartbeats.ts
@@ -24,7 +24,7 @@
 import {LoadPoller} from './load_poller.js';
 import {Self} from './self.js';
 
-/** What heartbeats are made of and bring news to. */
+/** Sources of the content of heartbeats, and receivers of what they contain. */
 export interface HeartbeatsOptions {
   readonly self: Self;
   readonly clock: Clock;
@@ -37,36 +37,36 @@
   readonly poller: LoadPoller;
   readonly usage: UsageCounter;
   readonly quarantine: Quarantine;
-  /** Told of a peer that has a higher revision. */
+  /** Called when a peer reports a higher configuration revision than this host has. */
   readonly onHigherRevision: (host: string, revision: number) => void;
 }
 
 /** Reply to a heartbeat. */
 const acknowledgementSchema = z.object({
-  /** Version of the detail that was taken in. */
+  /** Version of the sender's detail that the receiver has applied. */
   detailVersion: z.number().int(),
   suspects: suspectNewsSchema.optional(),
 });
 
-/** Age at which an unchanged detail is sent again, in milliseconds. */
-const RESEND_MS = 60_000;
-/** Hosts up to which every host hears the load of every engine. */
+/** Age at which an unchanged detail gets a new version and is sent again, in ms. */
+const DETAIL_RESEND_MS = 60_000;
+/** Number of hosts up to which every host receives the load of every engine. */
 const SMALL_SYSTEM_HOSTS = 32;
-/** Age up to which a detail is not even compared, in milliseconds. */
-const FRESH_MS = 200;
+/** Age up to which a detail is reused without rebuilding it, in milliseconds. */
+const DETAIL_CACHE_MS = 200;
 
 /**
- * Makes and takes in the heartbeats between entry hosts.
+ * Creates and processes the heartbeats between entry hosts.
  *
- * A heartbeat is small. What changes rarely travels with it only until the
- * peer has acknowledged it, which keeps the traffic of a large system low.
+ * Heartbeats are kept small to limit the traffic of a large system: the detail,
+ * which changes rarely, is included only until the peer has acknowledged it.
  */
 export class Heartbeats {
   private detail: HostDetail | undefined;
   private detailText = '';
   private detailVersion = 0;
-  private changedMs = 0;
-  private lookedMs = Number.NEGATIVE_INFINITY;
+  private versionChangedMs = 0;
+  private detailCheckedMs = Number.NEGATIVE_INFINITY;
   private readonly facts = new Map<string, EngineFacts>();
 
   private readonly suspects: ChangeWords<SuspectPage>;
@@ -76,36 +76,37 @@
   }
 
   /**
-   * Makes a heartbeat as it is now.
-   * @param peer - Whom it is for.
-   * @param acknowledged - The peer's last acknowledgement; see `acknowledge`.
+   * Creates a heartbeat with the current state of this host.
+   * @param peer - The receiver.
+   * @param acknowledged - The peer's last acknowledgement (see `acknowledge`);
+   *   not yet validated.
    */
   create(peer: PeerIdentity, acknowledged: unknown): Heartbeat {
     const {membership, configuration} = this.options;
     const detail = this.getDetail();
     const parsed = acknowledgementSchema.safeParse(acknowledged);
-    const known =
+    const isDetailKnown =
       parsed.success && parsed.data.detailVersion === this.detailVersion;
-    const reply = parsed.success ? parsed.data.suspects : undefined;
-    const suspects = this.suspects.create(peer, reply);
+    const peerSuspects = parsed.success ? parsed.data.suspects : undefined;
+    const suspects = this.suspects.create(peer, peerSuspects);
     const revision = configuration.getRevision();
     return {
       state: membership.getOwnState(),
       revision,
       centreRevision: membership.getCentreRevision(revision),
-      loads: this.isNear(peer) ? this.listLoads(detail) : [],
+      loads: this.needsLoads(peer) ? this.listLoads(detail) : [],
       usage: this.options.usage
         .listOwn()
         .map(usage => [usage.customer, usage.inFlight]),
       detailVersion: this.detailVersion,
-      ...(known ? {} : {detail}),
+      ...(isDetailKnown ? {} : {detail}),
       ...(suspects === undefined ? {} : {suspects}),
     };
   }
 
   /**
-   * Takes in a heartbeat and makes the reply to it.
-   * @param status - What a peer said of itself; already checked.
+   * Processes a heartbeat and creates the reply to it.
+   * @param status - State that a peer reports of itself; already validated.
    */
   acknowledge(status: HostStatus): z.output<typeof acknowledgementSchema> {
     this.receive(status);
@@ -118,9 +119,9 @@
   }
 
   /**
-   * Takes in the reply to a heartbeat.
-   * @param peer - Who replied.
-   * @param body - The reply; not yet checked.
+   * Processes the reply to a heartbeat.
+   * @param peer - The peer that replied.
+   * @param body - The reply; not yet validated.
    */
   receiveReply(peer: PeerIdentity, body: unknown): void {
     const parsed = acknowledgementSchema.safeParse(body);
@@ -129,8 +130,11 @@
     }
   }
 
-  /** Hosts of other data centres need loads only while the system is small. */
-  private isNear(peer: PeerIdentity): boolean {
+  /**
+   * Peers of other data centres receive loads only while the system has at most
+   * `SMALL_SYSTEM_HOSTS` hosts.
+   */
+  private needsLoads(peer: PeerIdentity): boolean {
     const {membership, self} = this.options;
     return (
       peer.dataCentre === self.dataCentre ||
@@ -170,23 +174,29 @@
     }
   }
 
-  /** Returns the detail, under a new version if it has changed. */
+  /** Returns the detail; raises its version if it has changed or is to be sent again. */
   private getDetail(): HostDetail {
     const nowMs = this.options.clock.monotonicMs();
-    if (this.detail !== undefined && nowMs - this.lookedMs < FRESH_MS) {
+    if (
+      this.detail !== undefined &&
+      nowMs - this.detailCheckedMs < DETAIL_CACHE_MS
+    ) {
       return this.detail;
     }
-    this.lookedMs = nowMs;
+    this.detailCheckedMs = nowMs;
     const detail = this.createDetail();
     const text = JSON.stringify({
       ...detail,
-      // Ages change all the time; only who is leaving is news.
+      // Only the names count: the ages change all the time.
       leaving: detail.leaving.map(leaving => leaving.host),
     });
-    if (text !== this.detailText || nowMs - this.changedMs > RESEND_MS) {
+    if (
+      text !== this.detailText ||
+      nowMs - this.versionChangedMs > DETAIL_RESEND_MS
+    ) {
       this.detailText = text;
       this.detailVersion++;
-      this.changedMs = nowMs;
+      this.versionChangedMs = nowMs;
     }
     this.detail = detail;
     return detail;
@@ -205,7 +215,7 @@
 
   private listFacts(): EngineFacts[] {
     const facts: EngineFacts[] = [];
-    for (const server of this.options.poller.listPolled()) {
+    for (const server of this.options.poller.listAssignedServers()) {
       const load = this.options.servers.getLoad(server)?.load;
       if (load !== undefined) {
         const {capacity, prefillRate, decodeMs} = load;
@@ -219,7 +229,10 @@
     return facts;
   }
 
-  /** Which engines are polled here is not worked out again for each peer. */
+  /**
+   * Lists the loads of the engines in `detail`, so that the assigned engines are
+   * not computed again for each peer.
+   */
   private listLoads(detail: HostDetail): EngineLoad[] {
     const loads: EngineLoad[] = [];
     for (const {server} of detail.engines) {
--- a/src/daemon/http_server.ts
+++ b/src/daemon/http_server.ts
@@ -3,20 +3,21 @@
 import {Express} from 'express';
 import {problems, toProblemDocument} from '../errors/index.js';
 
-const HEADER_OVERFLOW = 'HPE_HEADER_OVERFLOW';
+/** Error code of the HTTP parser for a request head over the limit. */
+const HEADER_OVERFLOW_CODE = 'HPE_HEADER_OVERFLOW';
 
-/** An HTTP server that can stop without cutting off a request. */
+/** An HTTP server that can stop without interrupting requests in flight. */
 export class HttpServer {
   private readonly server: Server;
   private inFlight = 0;
 
   /**
-   * @param app - What it serves.
-   * @param maxHeaderBytes - Largest request head accepted.
+   * @param app - Application that handles the requests.
+   * @param maxHeaderBytes - Largest request head accepted, in bytes.
    */
   constructor(app: Express, maxHeaderBytes: number) {
     this.server = createServer({maxHeaderSize: maxHeaderBytes}, app);
-    // Streams last as long as their generations do.
+    // No request timeout: a stream lasts as long as its generation.
     this.server.requestTimeout = 0;
     this.server.on('request', (_request, response) => {
       this.inFlight++;
@@ -26,18 +27,18 @@
       if (!socket.writable) {
         return;
       }
-      socket.end(formatClientError(error.code === HEADER_OVERFLOW));
+      socket.end(formatClientError(error.code === HEADER_OVERFLOW_CODE));
     });
   }
 
-  /** Number of requests being answered. */
+  /** Returns the number of requests whose response is not closed yet. */
   countInFlight(): number {
     return this.inFlight;
   }
 
   /**
    * Starts to listen.
-   * @param address - IP number and port.
+   * @param address - IP address and port, as "IP:PORT".
    * @returns The port.
    */
   async listen(address: string): Promise<number> {
@@ -49,27 +50,27 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Stops listening; requests in progress go on. */
+  /** Stops listening and closes idle connections; requests in flight continue. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Closes every connection. */
+  /** Stops listening and closes all connections. */
   stop(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 }
 
-/** Splits "IP:PORT". */
+/** Splits "IP:PORT" into its parts; removes the brackets of an IPv6 address. */
 export function splitAddress(address: string): {host: string; port: number} {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '');
   return {host, port: Number(address.slice(colon + 1))};
 }
 
-/** Answer to bytes that are no HTTP request, or one with too large a head. */
+/** Formats the response to malformed HTTP, or to a request head over the limit. */
 function formatClientError(headTooLarge: boolean): string {
   const problem = headTooLarge
     ? {
--- a/src/daemon/identifiers.ts
+++ b/src/daemon/identifiers.ts
@@ -1,4 +1,4 @@
-/** Keys under which the container keeps what has no class of its own. */
+/** Service identifiers of bindings that have no class of their own. */
 import {ServiceIdentifier} from 'inversify';
 import {Log} from '../log/index.js';
 import {HostList} from '../host_list/index.js';
--- a/src/daemon/index.ts
+++ b/src/daemon/index.ts
@@ -1,4 +1,4 @@
-/** The daemon: one entry host, put together. */
+/** The daemon that runs on each entry host, and its dependency injection. */
 export {ConfigurationFeed} from './configuration_feed.js';
 export {createContainer} from './container/create_container.js';
 export {Daemon} from './daemon.js';
--- a/src/daemon/load_poller.ts
+++ b/src/daemon/load_poller.ts
@@ -3,54 +3,55 @@
 import {ServerDirectory} from '../routing/index.js';
 import {Clock} from '../time/index.js';
 
-/** What the poller works with. */
+/** Dependencies and settings of the load poller. */
 export interface LoadPollerOptions {
   readonly clock: Clock;
   readonly directory: ServerDirectory;
   readonly host: string;
   readonly dataCentre: string;
-  /** Returns the live hosts of this data centre, own included. */
+  /** Returns the names of the live hosts of this data centre, this one included. */
   readonly listLiveNamesHere: () => readonly string[];
   /** Pause between two polls of a server, in milliseconds. */
   readonly pollMs: number;
 }
 
-/** Hosts that poll each server: one more than needed, in case one dies. */
+/** Hosts that poll each server: one suffices, the second covers its failure. */
 const POLLERS_PER_SERVER = 2;
 
 /**
- * Polls the engines of this data centre for load and cache events. The hosts
- * share the work by rendezvous hash and tell each other in heartbeats.
+ * Polls the engines of this data centre for load and cache events. Rendezvous
+ * hashing distributes the engines over the hosts, which exchange the loads in
+ * heartbeats.
  */
 export class LoadPoller {
   constructor(private readonly options: LoadPollerOptions) {}
 
-  /** Polls until aborted. */
+  /** Polls the assigned engines periodically until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const polls = this.listPolled().map(server => this.poll(server));
+      const polls = this.listAssignedServers().map(server => this.poll(server));
       await Promise.all(polls);
       await this.options.clock.sleep(this.options.pollMs, signal);
     }
   }
 
-  /** Returns the servers that fall to this host. */
-  listPolled(): string[] {
+  /** Returns the names of the engines that this host has to poll. */
+  listAssignedServers(): string[] {
     const {directory, dataCentre, host} = this.options;
     const hosts = this.options.listLiveNamesHere();
-    const polled: string[] = [];
+    const assigned: string[] = [];
     for (const server of directory.listServers()) {
-      const mine =
+      const isAssigned =
         server.kind === ServerKind.ENGINE &&
         server.dataCentre === dataCentre &&
         rankByRendezvous(server.name, hosts)
           .slice(0, POLLERS_PER_SERVER)
           .includes(host);
-      if (mine) {
-        polled.push(server.name);
+      if (isAssigned) {
+        assigned.push(server.name);
       }
     }
-    return polled;
+    return assigned;
   }
 
   private async poll(server: string): Promise<void> {
--- a/src/daemon/peer_message.ts
+++ b/src/daemon/peer_message.ts
@@ -4,7 +4,7 @@
 import {callMessageSchema} from '../service/index.js';
 import {generationRecordSchema} from './generation_record.js';
 
-/** Every request that one entry host may send another. */
+/** Schema of all requests between entry hosts. */
 export const peerMessageSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('heartbeat'), status: heartbeatSchema}),
   z.object({
@@ -36,5 +36,5 @@
   z.object({kind: z.literal('drain'), on: z.boolean()}),
 ]);
 
-/** Every request that one entry host may send another. */
+/** A request from one entry host to another. */
 export type PeerMessage = z.output<typeof peerMessageSchema>;
--- a/src/daemon/peer_requests.ts
+++ b/src/daemon/peer_request_handler.ts
@@ -17,8 +17,8 @@
 import {Heartbeats} from './heartbeats.js';
 import {PeerMessage, peerMessageSchema} from './peer_message.js';
 
-/** What the requests of peers are served with. */
-export interface PeerRequestsOptions {
+/** Dependencies of the handler for requests of peers. */
+export interface PeerRequestHandlerOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly configuration: ConfigurationStore;
@@ -26,20 +26,22 @@
   readonly heartbeats: Heartbeats;
   readonly store: GenerationStore;
   readonly runner: GenerationRunner;
+  /** Starts or ends the drain of this host. */
   readonly setDrained: (on: boolean) => void;
 }
 
-/** Serves what peers ask of this host. */
-export class PeerRequests {
-  constructor(private readonly options: PeerRequestsOptions) {}
+/** Handles the requests that peers send to this host. */
+export class PeerRequestHandler {
+  constructor(private readonly options: PeerRequestHandlerOptions) {}
 
   /**
-   * Serves one request.
-   * @param request - The decoded frame.
+   * Handles one request.
+   * @param request - The decoded frame; not yet validated.
    * @param from - Peer that sent it.
-   * @param sendPart - Sends a part before the reply.
-   * @param signal - Aborted when the peer no longer wants the reply.
-   * @throws Error - When the frame is none of the known messages.
+   * @param sendPart - Sends a partial reply ahead of the final one.
+   * @param signal - Aborted when the peer no longer needs the reply.
+   * @returns The body of the reply.
+   * @throws Error - When the frame matches no known message.
    */
   async handle(
     request: unknown,
@@ -51,7 +53,7 @@
     if (!parsed.success) {
       const [issue] = parsed.error.issues;
       throw new Error(
-        `the request is none this release knows (${issue?.path.join('.')}: ${issue?.message}); finish the upgrade of all hosts`,
+        `the request matches no message known to this release (${issue?.path.join('.')}: ${issue?.message}); finish the upgrade of all hosts`,
       );
     }
     return this.serve(parsed.data, from, sendPart, signal);
@@ -84,7 +86,7 @@
           taken: bookkeeper.addLateOutcome(message.book, message.entry),
         };
       case 'take-generation':
-        this.takeGeneration(message.generation, from.host);
+        this.receiveGeneration(message.generation, from.host);
         return {taken: true};
       case 'read-generation':
         return this.readGeneration(message, sendPart, signal);
@@ -94,7 +96,7 @@
     }
   }
 
-  private takeGeneration(record: GenerationRecord, from: string): void {
+  private receiveGeneration(record: GenerationRecord, from: string): void {
     const {clock, log, store, runner} = this.options;
     const generation = fromGenerationRecord(record, clock.monotonicMs());
     const stop = store.add(generation);
--- a/src/daemon/platform_watcher.ts
+++ b/src/daemon/platform_watcher.ts
@@ -3,40 +3,42 @@
 import {HostList} from '../host_list/index.js';
 import {Clock} from '../time/index.js';
 
-/** What the watcher works with. */
+/** Dependencies and settings of the platform watcher. */
 export interface PlatformWatcherOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly hostList: HostList;
   readonly membership: Membership;
   readonly leavingHosts: LeavingHosts;
-  /** Name of this host: a notice for it starts its own drain. */
+  /** Name of this host. */
   readonly host: string;
+  /** Called on a reclaim notice for this host, with the time left. */
   readonly onOwnNotice: (remainingMs: number) => void;
+  /** Pause between two polls, in milliseconds. */
   readonly pollMs: number;
 }
 
-/** Reads the platform's host list and notices. */
+/** Polls the platform for the host list and reclaim notices. */
 export class PlatformWatcher {
   private reachable = true;
 
   constructor(private readonly options: PlatformWatcherOptions) {}
 
-  /** Tells whether the last look brought an answer. */
+  /** Returns whether the platform answered the last poll; true before the first. */
   isReachable(): boolean {
     return this.reachable;
   }
 
-  /** Looks until aborted. */
+  /** Polls until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.look();
+      await this.poll();
       await this.options.clock.sleep(this.options.pollMs, signal);
     }
   }
 
-  /** Looks once. */
-  async look(): Promise<void> {
+  /** Polls once and applies the results. */
+  async poll(): Promise<void> {
     const {hostList, membership, leavingHosts, host, clock} = this.options;
     const hosts = await hostList.listHosts();
     const notices = await hostList.listNotices();
--- a/src/daemon/remote_generations.ts
+++ b/src/daemon/remote_generation_reader.ts
@@ -1,20 +1,20 @@
 import {Problem} from '../errors/index.js';
 import {Generation, GenerationEvent} from '../generation/index.js';
-import {RemoteGeneration} from '../caller/index.js';
+import {ReadableGeneration} from '../caller/index.js';
 import {BookDirectory, getHostBook, parseMintedKey} from '../journal/index.js';
 import {Peers} from '../peer/index.js';
 import {Clock} from '../time/index.js';
 import {fromGenerationRecord, GenerationRecord} from './generation_record.js';
 
-/** Longest time a caller reads a generation through another host, in ms. */
-const READ_LIMIT_MS = 600_000;
+/** Longest time for which a generation is read from another host, in ms. */
+const READ_TIMEOUT_MS = 600_000;
 
-/** A part of a peer's reply: the head first, then events. */
-type Part =
+/** A partial reply of a peer: the head first, then events. */
+type ReplyPart =
   {readonly kind: 'head'; readonly record: GenerationRecord} | GenerationEvent;
 
-/** Reads generations that other hosts run, for callers that came here. */
-export class RemoteGenerations {
+/** Reads generations that run on other hosts, for callers connected to this host. */
+export class RemoteGenerationReader {
   constructor(
     private readonly host: string,
     private readonly peers: Peers,
@@ -25,17 +25,17 @@
   /**
    * Reads a generation from the host that runs it.
    * @param id - Id of the generation.
-   * @param customer - Customer that asks.
-   * @param from - Position of the first token wanted.
-   * @param signal - Ends the reading.
-   * @returns The generation, or `undefined` when no host has it.
+   * @param customer - Customer that requests it.
+   * @param from - Position of the first token to read.
+   * @param signal - Aborts the read.
+   * @returns The generation, or `undefined` if no other host has it.
    */
   async read(
     id: string,
     customer: string,
     from: number,
     signal: AbortSignal,
-  ): Promise<RemoteGeneration | undefined> {
+  ): Promise<ReadableGeneration | undefined> {
     const holder = this.findHolder(id);
     if (holder === undefined || holder === this.host) {
       return undefined;
@@ -44,10 +44,10 @@
       let local: Generation | undefined;
       let position = from;
       const receive = (received: unknown) => {
-        const part = received as Part;
+        const part = received as ReplyPart;
         if (part.kind === 'head') {
           const nowMs = this.clock.monotonicMs();
-          // Blanks stand for the tokens that the caller has seen already.
+          // Empty texts fill the positions of tokens that the caller already has.
           const seen = new Array<string>(from).fill('');
           local = fromGenerationRecord({...part.record, texts: seen}, nowMs);
           const events = local.read(from, signal, () =>
@@ -65,10 +65,10 @@
       };
       const body = {kind: 'read-generation', id, customer, from};
       void this.peers
-        .request(holder, body, READ_LIMIT_MS, receive, signal)
+        .request(holder, body, READ_TIMEOUT_MS, receive, signal)
         .then(reply => {
           if (reply.isErr) {
-            local?.fail(interrupted(reply.error.message));
+            local?.fail(createReadFailure(reply.error.message));
           }
           resolve(undefined);
         });
@@ -85,12 +85,12 @@
   }
 }
 
-function interrupted(detail: string): Problem {
+function createReadFailure(detail: string): Problem {
   return {
     kind: 'server-failed',
     status: 502,
-    detail: `The host that runs the generation was lost: ${detail}.`,
-    remedy: 'Ask again for the events after the last one seen.',
+    detail: `Reading the generation from the host that runs it failed: ${detail}.`,
+    remedy: 'Request the events after the last one received.',
     ran: 'unknown',
     retryAfterSeconds: 1,
   };
--- a/src/daemon/self.ts
+++ b/src/daemon/self.ts
@@ -1,27 +1,28 @@
 import {randomBytes} from 'node:crypto';
 import {Settings} from '../settings/index.js';
 
-/** Who this process is among the entry hosts. */
+/** Identity of this process among the entry hosts. */
 export interface Self {
   readonly host: string;
   readonly dataCentre: string;
-  /** Differs for every start of the process. */
+  /** Id of this run of the process; differs for every start. */
   readonly incarnation: string;
-  /** IP number and port told to peers. */
+  /** IP address and port at which peers can connect. */
   readonly address: string;
 }
 
 const RANDOM_BYTES = 4;
-const BASE = 36;
+const RADIX = 36;
 
 /**
- * Makes the identity of this start of the process.
+ * Creates the identity of this run of the process.
  * @param settings - Settings of the process.
- * @param now - Wall-clock time, which makes incarnations readable in order.
+ * @param now - Wall-clock time; the incarnation begins with it, so that a reader
+ *   can see the order of incarnations.
  */
 export function createSelf(settings: Settings, now: Date): Self {
-  const time = Math.floor(now.getTime() / 1000).toString(BASE);
-  const random = randomBytes(RANDOM_BYTES).readUInt32BE(0).toString(BASE);
+  const time = Math.floor(now.getTime() / 1000).toString(RADIX);
+  const random = randomBytes(RANDOM_BYTES).readUInt32BE(0).toString(RADIX);
   return {
     host: settings.host.name,
     dataCentre: settings.host.data_centre,
--- a/src/daemon/status_builder.ts
+++ b/src/daemon/status_builder.ts
@@ -2,9 +2,9 @@
 import {Bookkeeper} from '../journal/index.js';
 import {LeavingHosts, Membership} from '../membership/index.js';
 import {
-  CentreLine,
-  HostLine,
-  ServerLine,
+  DataCentreSummary,
+  HostSummary,
+  ServerSummary,
   SystemStatus,
 } from '../operator/index.js';
 import {ServerDirectory} from '../routing/index.js';
@@ -12,7 +12,7 @@
 import {PlatformWatcher} from './platform_watcher.js';
 import {Self} from './self.js';
 
-/** What the status is read from. */
+/** Sources of the system status. */
 export interface StatusBuilderOptions {
   readonly self: Self;
   readonly clock: Clock;
@@ -24,11 +24,11 @@
   readonly platform: PlatformWatcher;
 }
 
-/** Puts together what this host knows of the system. */
+/** Builds the system status from what this host knows. */
 export class StatusBuilder {
   constructor(private readonly options: StatusBuilderOptions) {}
 
-  /** Builds the status as it is now. */
+  /** Returns the current status. */
   build(): SystemStatus {
     const {self, membership, configuration, bookkeeper} = this.options;
     const hosts = this.listHosts();
@@ -39,15 +39,15 @@
       revision: configuration.getRevision(),
       platform_reachable: this.options.platform.isReachable(),
       hosts,
-      data_centres: this.listCentres(hosts),
+      data_centres: this.listDataCentres(hosts),
       servers: this.listServers(),
       books: bookkeeper.listHeld().map(held => held.book),
     };
   }
 
-  private listHosts(): HostLine[] {
+  private listHosts(): HostSummary[] {
     const {self, membership, configuration, bookkeeper, clock} = this.options;
-    const own: HostLine = {
+    const own: HostSummary = {
       host: self.host,
       data_centre: self.dataCentre,
       state: membership.getOwnState(),
@@ -73,8 +73,8 @@
     return all;
   }
 
-  private listCentres(hosts: readonly HostLine[]): CentreLine[] {
-    const centres = new Map<string, CentreLine>();
+  private listDataCentres(hosts: readonly HostSummary[]): DataCentreSummary[] {
+    const centres = new Map<string, DataCentreSummary>();
     for (const host of hosts) {
       if (!host.alive) {
         continue;
@@ -92,7 +92,7 @@
     return [...centres.values()];
   }
 
-  private listServers(): ServerLine[] {
+  private listServers(): ServerSummary[] {
     const {servers, leavingHosts} = this.options;
     return servers.listServers().map(server => {
       const load = servers.getLoad(server.name)?.load;
