--- a/src/operator/in_force.ts
+++ b/src/operator/in_force.ts
@@ -2,17 +2,17 @@
 import {Membership} from '../membership/index.js';
 import {Clock} from '../time/index.js';
 
-/** Which data centres a configuration revision is in force in. */
+/** Data centres in which a configuration revision is in force, and the others. */
 export interface InForceReport {
   readonly revision: number;
   /** Data centres in which the revision is in force on every live host. */
   readonly inForce: readonly string[];
   /** Data centres that have not confirmed the revision. */
-  readonly pending: readonly PendingCentre[];
+  readonly pending: readonly PendingDataCentre[];
 }
 
 /** A data centre in which a revision is not known to be in force. */
-export interface PendingCentre {
+export interface PendingDataCentre {
   readonly dataCentre: string;
   /**
    * Hosts that do not respond or have a lower revision, or that report a lower
@@ -70,13 +70,13 @@
     }
     for (const known of this.membership.listKnown()) {
       centres.add(known.dataCentre);
-      const here = known.dataCentre === this.dataCentre;
-      const reportedRevision = here
+      const isLocal = known.dataCentre === this.dataCentre;
+      const reportedRevision = isLocal
         ? known.status?.revision
         : known.status?.centreRevision;
-      const current =
+      const isInForce =
         this.membership.isAlive(known) && (reportedRevision ?? 0) >= revision;
-      if (!current && this.mustConfirm(known.host)) {
+      if (!isInForce && this.mustConfirm(known.host)) {
         const hosts = pending.get(known.dataCentre) ?? [];
         pending.set(known.dataCentre, [...hosts, known.host]);
       }
