--- a/src/peer/choose_links.ts
+++ b/src/peer/choose_links.ts
@@ -1,49 +1,54 @@
 import {rankByRendezvous} from '../random/index.js';
 
-/** A host that could be linked to. */
+/** A host that a connection can be opened to. */
 export interface LinkCandidate {
   readonly host: string;
   readonly dataCentre: string;
   readonly address: string;
 }
 
-/** Up to this many hosts in all, everyone is linked with everyone. */
-const FULL_MESH_HOSTS = 32;
+/** Up to this number of hosts in total, each host connects to all others. */
+const MAX_FULL_MESH_HOSTS = 32;
 /**
- * Links to each other data centre beyond that. The hosts of a data centre
- * choose differently, so two data centres have as many links as hosts.
+ * Connections that a host keeps to each other data centre above that number.
+ * The hosts of a data centre choose differently, so two data centres have as
+ * many links between them as hosts.
  */
-const LINKS_PER_CENTRE = 1;
+const LINKS_PER_REMOTE_DATA_CENTRE = 1;
 
 /**
- * Chooses the peers a host keeps a connection to: all of its own data centre,
- * and a few of each other one, so that the number grows with the data centres
- * and not with the hosts.
+ * Chooses the peers that a host keeps connections to. In a small cluster these
+ * are all hosts. Otherwise they are all hosts of its own data centre, and
+ * `LINKS_PER_REMOTE_DATA_CENTRE` of each other data centre, so that the number
+ * of remote connections grows with the data centres and not with the hosts.
  * @param self - This host.
- * @param candidates - The others.
+ * @param candidates - All other hosts.
  */
 export function chooseLinks(
   self: {readonly host: string; readonly dataCentre: string},
   candidates: readonly LinkCandidate[],
 ): LinkCandidate[] {
-  if (candidates.length < FULL_MESH_HOSTS) {
+  if (candidates.length < MAX_FULL_MESH_HOSTS) {
     return [...candidates];
   }
-  const byCentre = new Map<string, LinkCandidate[]>();
+  const byDataCentre = new Map<string, LinkCandidate[]>();
   for (const candidate of candidates) {
-    const centre = byCentre.get(candidate.dataCentre) ?? [];
-    centre.push(candidate);
-    byCentre.set(candidate.dataCentre, centre);
+    const group = byDataCentre.get(candidate.dataCentre) ?? [];
+    group.push(candidate);
+    byDataCentre.set(candidate.dataCentre, group);
   }
   const chosen: LinkCandidate[] = [];
-  for (const [dataCentre, centre] of byCentre) {
+  for (const [dataCentre, group] of byDataCentre) {
     if (dataCentre === self.dataCentre) {
-      chosen.push(...centre);
+      chosen.push(...group);
       continue;
     }
-    const names = centre.map(candidate => candidate.host);
-    const best = rankByRendezvous(self.host, names).slice(0, LINKS_PER_CENTRE);
-    chosen.push(...centre.filter(candidate => best.includes(candidate.host)));
+    const names = group.map(candidate => candidate.host);
+    const best = rankByRendezvous(self.host, names).slice(
+      0,
+      LINKS_PER_REMOTE_DATA_CENTRE,
+    );
+    chosen.push(...group.filter(candidate => best.includes(candidate.host)));
   }
   return chosen;
 }
--- a/src/peer/envelope.ts
+++ b/src/peer/envelope.ts
@@ -2,7 +2,7 @@
 
 const id = z.number().int().min(0);
 
-/** Frames after the handshake: requests, and what comes back for them. */
+/** Schema of the frames after the handshake: requests, their responses and cancellations. */
 export const envelopeSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('request'), id, body: z.unknown()}),
   z.object({kind: z.literal('part'), id, body: z.unknown()}),
@@ -11,5 +11,5 @@
   z.object({kind: z.literal('cancel'), id}),
 ]);
 
-/** Frames after the handshake. */
+/** A frame after the handshake. `id` identifies a request among those of its sender. */
 export type Envelope = z.output<typeof envelopeSchema>;
--- a/src/peer/frame.ts
+++ b/src/peer/frame.ts
@@ -1,7 +1,7 @@
 import {Encoder} from 'cbor-x';
 import {Result} from 'true-myth';
 
-/** Bytes of the length that comes before each frame. */
+/** Size of the length prefix of each frame, in bytes. */
 const HEADER_BYTES = 4;
 
 const encoder = new Encoder({useRecords: false, mapsAsObjects: true});
@@ -18,29 +18,29 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames and decodes them. */
+/** Splits a byte stream into frames and decodes them. */
 export class FrameReader {
   private buffered: Buffer[] = [];
   private bufferedBytes = 0;
 
-  /** @param limitBytes - Largest body accepted; may be raised later. */
+  /** @param limitBytes - Largest frame body accepted, in bytes; see `setLimit`. */
   constructor(private limitBytes: number) {}
 
-  /** Changes the largest body accepted. */
+  /** Sets the largest frame body accepted, in bytes. */
   setLimit(limitBytes: number): void {
     this.limitBytes = limitBytes;
   }
 
-  /** Adds bytes as they arrive. */
+  /** Appends received bytes to the buffer. */
   add(chunk: Buffer): void {
     this.buffered.push(chunk);
     this.bufferedBytes += chunk.length;
   }
 
   /**
-   * Takes the next whole frame.
-   * @returns The decoded value, `undefined` when more bytes are needed, or
-   *   what is wrong with the frame; after that the stream is of no more use.
+   * Removes the next complete frame from the buffer and decodes it.
+   * @returns The decoded value, `undefined` when more bytes are needed, or a
+   *   description of the error. After an error the stream must be closed.
    */
   read(): Result<{readonly value: unknown} | undefined, string> {
     if (this.bufferedBytes < HEADER_BYTES) {
@@ -50,7 +50,7 @@
     const length = all.readUInt32BE(0);
     if (length > this.limitBytes) {
       return Result.err(
-        `a frame of ${length} bytes exceeds ${this.limitBytes}`,
+        `frame of ${length} bytes exceeds the limit of ${this.limitBytes} bytes`,
       );
     }
     if (all.length < HEADER_BYTES + length) {
@@ -63,7 +63,7 @@
     try {
       return Result.ok({value: encoder.decode(body)});
     } catch (error) {
-      return Result.err(`a frame is not CBOR: ${String(error)}`);
+      return Result.err(`frame body is not valid CBOR: ${String(error)}`);
     }
   }
 
--- a/src/peer/handshake.ts
+++ b/src/peer/handshake.ts
@@ -1,44 +1,44 @@
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
 import {z} from 'zod';
 
-/** Newest version of the peer protocol that this release speaks. */
+/** Newest version of the peer protocol that this release supports. */
 export const PROTOCOL_VERSION = 1;
-/** Oldest version that it still speaks. */
+/** Oldest version of the peer protocol that this release supports. */
 export const OLDEST_PROTOCOL_VERSION = 1;
 
 const NONCE_BYTES = 16;
 const MAC_BYTES = 32;
-const MAX_NAME = 128;
+const MAX_NAME_LENGTH = 128;
 
-/** First frame of each side. */
+/** Schema of the first frame that each side sends. */
 export const greetingSchema = z.object({
   kind: z.literal('greeting'),
   version: z.number().int(),
   oldestVersion: z.number().int(),
-  host: z.string().min(1).max(MAX_NAME),
-  dataCentre: z.string().min(1).max(MAX_NAME),
-  incarnation: z.string().min(1).max(MAX_NAME),
+  host: z.string().min(1).max(MAX_NAME_LENGTH),
+  dataCentre: z.string().min(1).max(MAX_NAME_LENGTH),
+  incarnation: z.string().min(1).max(MAX_NAME_LENGTH),
   nonce: z.instanceof(Uint8Array).refine(bytes => bytes.length === NONCE_BYTES),
 });
 
-/** First frame of each side. */
+/** First frame that each side sends: its identity, protocol versions and nonce. */
 export type Greeting = z.output<typeof greetingSchema>;
 
-/** Second frame of each side: shows that it knows the shared key. */
+/** Schema of the second frame that each side sends: proves that it knows the shared key. */
 export const proofSchema = z.object({
   kind: z.literal('proof'),
   mac: z.instanceof(Uint8Array).refine(bytes => bytes.length === MAC_BYTES),
 });
 
-/** Who a peer has shown itself to be. */
+/** Identity of a host; that of a peer is trusted once its proof is verified. */
 export interface PeerIdentity {
   readonly host: string;
   readonly dataCentre: string;
-  /** Differs for every start of the process on that host. */
+  /** Identifies one run of the process; a restart of the host process changes it. */
   readonly incarnation: string;
 }
 
-/** Makes a greeting with a fresh nonce. */
+/** Creates a greeting with a new random nonce. */
 export function createGreeting(self: PeerIdentity): Greeting {
   return {
     kind: 'greeting',
@@ -52,9 +52,10 @@
 }
 
 /**
- * Computes a side's proof: an HMAC over both greetings, its own first.
- * @param key - Shared key of all peers.
- * @param own - Greeting of the side that proves itself.
+ * Computes the proof of one side: an HMAC-SHA-256 over both greetings, its own
+ * greeting first.
+ * @param key - Key shared by all peers.
+ * @param own - Greeting of the side that is authenticated by the proof.
  * @param other - Greeting of the other side.
  */
 export function computeProof(
@@ -76,7 +77,7 @@
   return a.length === b.length && timingSafeEqual(a, b);
 }
 
-/** Tells whether two releases have a protocol version in common. */
+/** Returns whether the sender of a greeting supports a protocol version of this release. */
 export function isCompatible(greeting: Greeting): boolean {
   return (
     greeting.version >= OLDEST_PROTOCOL_VERSION &&
--- a/src/peer/index.ts
+++ b/src/peer/index.ts
@@ -1,4 +1,4 @@
-/** Peers: authenticated TCP connections between entry hosts. */
+/** Authenticated TCP connections between entry hosts. */
 export {chooseLinks} from './choose_links.js';
 export type {LinkCandidate} from './choose_links.js';
 export {encodeFrame, FrameReader} from './frame.js';
--- a/src/peer/peer_connection.ts
+++ b/src/peer/peer_connection.ts
@@ -16,11 +16,14 @@
 } from './handshake.js';
 import {PeerFailure, PeerFailureKind} from './peer_failure.js';
 
-/** Largest frame before a peer has proved itself. */
-const STRANGER_FRAME_BYTES = 1024;
-const HANDSHAKE_MS = 2000;
+/** Largest frame accepted before the peer is authenticated, in bytes. */
+const HANDSHAKE_MAX_FRAME_BYTES = 1024;
+const HANDSHAKE_TIMEOUT_MS = 2000;
 
-/** Answers one request of a peer; may send parts before the reply. */
+/**
+ * Handles one request of a peer. It may send parts before it returns the reply;
+ * `signal` is aborted when the peer cancels or the connection closes.
+ */
 export type PeerHandler = (
   request: unknown,
   from: PeerIdentity,
@@ -28,70 +31,72 @@
   signal: AbortSignal,
 ) => Promise<unknown>;
 
-/** Settings that both sides of a connection need. */
+/** Options of a connection, the same for the side that connects and the side that accepts. */
 export interface PeerConnectionOptions {
   readonly self: PeerIdentity;
-  /** Shared key of all peers. */
+  /** Key shared by all peers. */
   readonly key: string;
   /** Largest frame accepted from a peer, in bytes. */
   readonly maxFrameBytes: number;
-  /** Silence after which a connection is closed, in milliseconds. */
+  /** Time without received data after which a connection is closed, in milliseconds. */
   readonly idleLimitMs: number;
   readonly handle: PeerHandler;
   readonly clock: Clock;
   readonly log: Log;
 }
 
-/** A request that waits for its reply. */
-interface Pending {
+/** A sent request whose reply has not arrived. */
+interface PendingRequest {
   readonly onPart: (part: unknown) => void;
   readonly settle: (result: Result<unknown, PeerFailure>) => void;
 }
 
 /**
- * One TCP connection to a peer, of either side.
+ * One TCP connection to a peer, whichever side opened it.
  *
- * `run` is the one task that reads it, from the greeting to the end.
+ * Only `run` reads from the socket, from the handshake until the connection
+ * closes.
  */
 export class PeerConnection {
-  private readonly reader = new FrameReader(STRANGER_FRAME_BYTES);
-  private readonly pending = new Map<number, Pending>();
-  private readonly serving = new Map<number, AbortController>();
+  private readonly reader = new FrameReader(HANDSHAKE_MAX_FRAME_BYTES);
+  private readonly pending = new Map<number, PendingRequest>();
+  private readonly inboundRequests = new Map<number, AbortController>();
   private nextId = 0;
   private peer: PeerIdentity | undefined;
   private closed = false;
-  private receivedMs = 0;
-  private readonly ended = new AbortController();
+  private lastReceivedMs = 0;
+  private readonly closeController = new AbortController();
 
   constructor(
     private readonly socket: Socket,
     private readonly options: PeerConnectionOptions,
   ) {
     socket.setNoDelay(true);
-    // The read loop learns of errors; without a listener they would throw.
+    // The read loop in `readFrames` reports errors. Without a listener, the
+    // "error" event would be thrown as an uncaught exception.
     socket.on('error', () => undefined);
   }
 
-  /** Returns who the peer is, once it has proved itself. */
+  /** Returns the identity of the peer; `undefined` until it is authenticated. */
   getPeer(): PeerIdentity | undefined {
     return this.peer;
   }
 
   /**
-   * Greets the peer, then reads frames until the connection ends.
-   * @param onReady - Called once the peer has proved itself.
-   * @returns Why the connection ended.
+   * Performs the handshake, then handles frames until the connection closes.
+   * @param onReady - Called once the peer is authenticated.
+   * @returns Why the connection closed.
    */
   async run(onReady: (peer: PeerIdentity) => void): Promise<string> {
     let reason = 'closed by the peer';
     const frames = this.readFrames();
     try {
-      this.peer = await this.shakeHands(frames);
+      this.peer = await this.performHandshake(frames);
       this.reader.setLimit(this.options.maxFrameBytes);
       onReady(this.peer);
-      void this.watchSilence();
+      void this.closeWhenIdle();
       for await (const frame of frames) {
-        this.receive(envelopeSchema.parse(frame));
+        this.handleEnvelope(envelopeSchema.parse(frame));
       }
     } catch (error) {
       reason = error instanceof Error ? error.message : String(error);
@@ -104,8 +109,8 @@
    * Sends a request and waits for its reply.
    * @param body - The request.
    * @param timeoutMs - How long to wait for the reply, in milliseconds.
-   * @param onPart - Called for each part that comes before the reply.
-   * @param signal - Cancels the request, on the other side as well.
+   * @param onPart - Called for each part that arrives before the reply.
+   * @param signal - Cancels the request, also at the peer.
    */
   async request(
     body: unknown,
@@ -115,11 +120,14 @@
   ): Promise<Result<unknown, PeerFailure>> {
     if (this.closed || this.peer === undefined) {
       return Result.err(
-        new PeerFailure(PeerFailureKind.NOT_SENT, 'not connected'),
+        new PeerFailure(
+          PeerFailureKind.NOT_SENT,
+          'connection is closed or not yet authenticated',
+        ),
       );
     }
     const id = this.nextId++;
-    const over = new AbortController();
+    const done = new AbortController();
     const reply = new Promise<Result<unknown, PeerFailure>>(settle => {
       this.pending.set(id, {onPart, settle});
       const abandon = (detail: string) => {
@@ -128,57 +136,60 @@
       };
       signal?.addEventListener('abort', () => abandon('cancelled'), {
         once: true,
-        signal: over.signal,
+        signal: done.signal,
       });
-      void this.options.clock.sleep(timeoutMs, over.signal).then(() => {
-        if (!over.signal.aborted) {
+      void this.options.clock.sleep(timeoutMs, done.signal).then(() => {
+        if (!done.signal.aborted) {
           abandon(`no reply within ${timeoutMs} ms`);
         }
       });
     });
     this.send({kind: 'request', id, body});
     const result = await reply;
-    over.abort();
+    done.abort();
     this.pending.delete(id);
     return result;
   }
 
-  /** Closes the connection; requests that wait fail as sent. */
+  /**
+   * Closes the connection. Requests without a reply fail with
+   * `PeerFailureKind.SENT`; requests of the peer are aborted.
+   */
   close(reason: string): void {
     if (this.closed) {
       return;
     }
     this.closed = true;
-    this.ended.abort();
+    this.closeController.abort();
     this.socket.destroy();
     for (const pending of this.pending.values()) {
       pending.settle(Result.err(new PeerFailure(PeerFailureKind.SENT, reason)));
     }
-    for (const controller of this.serving.values()) {
+    for (const controller of this.inboundRequests.values()) {
       controller.abort();
     }
   }
 
-  /** Closes the connection once the peer has sent nothing for too long. */
-  private async watchSilence(): Promise<void> {
+  /** Closes the connection when nothing was received for longer than `idleLimitMs`. */
+  private async closeWhenIdle(): Promise<void> {
     const {clock, idleLimitMs} = this.options;
     while (!this.closed) {
-      await clock.sleep(idleLimitMs / 2, this.ended.signal);
-      const silentMs = clock.monotonicMs() - this.receivedMs;
-      if (silentMs > idleLimitMs) {
-        this.close(`silent for ${Math.round(silentMs)} ms`);
+      await clock.sleep(idleLimitMs / 2, this.closeController.signal);
+      const idleMs = clock.monotonicMs() - this.lastReceivedMs;
+      if (idleMs > idleLimitMs) {
+        this.close(`no data received for ${Math.round(idleMs)} ms`);
       }
     }
   }
 
-  private async shakeHands(
+  private async performHandshake(
     frames: AsyncGenerator<unknown>,
   ): Promise<PeerIdentity> {
     const {clock, key, self} = this.options;
-    const over = new AbortController();
-    void clock.sleep(HANDSHAKE_MS, over.signal).then(() => {
-      if (!over.signal.aborted) {
-        this.close(`no handshake within ${HANDSHAKE_MS} ms`);
+    const done = new AbortController();
+    void clock.sleep(HANDSHAKE_TIMEOUT_MS, done.signal).then(() => {
+      if (!done.signal.aborted) {
+        this.close(`handshake not finished within ${HANDSHAKE_TIMEOUT_MS} ms`);
       }
     });
     try {
@@ -187,37 +198,37 @@
       const other = greetingSchema.parse(await nextFrame(frames));
       if (!isCompatible(other)) {
         throw new Error(
-          `the peer speaks versions ${other.oldestVersion} to ${other.version} only`,
+          `no common protocol version: the peer supports ${other.oldestVersion} to ${other.version}`,
         );
       }
       if (other.incarnation === own.incarnation) {
-        throw new Error('this is a connection of the host to itself');
+        throw new Error('the host connected to itself');
       }
       const mac = computeProof(key, own, other);
       this.socket.write(encodeFrame({kind: 'proof', mac}));
       const proof = proofSchema.parse(await nextFrame(frames));
-      this.checkProof(proof.mac, own, other);
+      this.verifyProof(proof.mac, own, other);
       return {
         host: other.host,
         dataCentre: other.dataCentre,
         incarnation: other.incarnation,
       };
     } finally {
-      over.abort();
+      done.abort();
     }
   }
 
-  private checkProof(mac: Uint8Array, own: Greeting, other: Greeting): void {
+  private verifyProof(mac: Uint8Array, own: Greeting, other: Greeting): void {
     if (!isSameProof(mac, computeProof(this.options.key, other, own))) {
       throw new Error(
-        `${other.host} does not know the shared key; check peers.key on both hosts`,
+        `${other.host} sent an invalid proof of the shared key; check peers.key on both hosts`,
       );
     }
   }
 
   private async *readFrames(): AsyncGenerator<unknown> {
     for await (const chunk of this.socket) {
-      this.receivedMs = this.options.clock.monotonicMs();
+      this.lastReceivedMs = this.options.clock.monotonicMs();
       this.reader.add(chunk as Buffer);
       for (;;) {
         const frame = this.reader.read();
@@ -232,10 +243,10 @@
     }
   }
 
-  private receive(envelope: Envelope): void {
+  private handleEnvelope(envelope: Envelope): void {
     switch (envelope.kind) {
       case 'request':
-        void this.serve(envelope.id, envelope.body);
+        void this.handleRequest(envelope.id, envelope.body);
         return;
       case 'part':
         this.pending.get(envelope.id)?.onPart(envelope.body);
@@ -253,18 +264,18 @@
           );
         return;
       case 'cancel':
-        this.serving.get(envelope.id)?.abort();
+        this.inboundRequests.get(envelope.id)?.abort();
         return;
     }
   }
 
-  private async serve(id: number, body: unknown): Promise<void> {
+  private async handleRequest(id: number, body: unknown): Promise<void> {
     const peer = this.peer;
     if (peer === undefined) {
       return;
     }
     const controller = new AbortController();
-    this.serving.set(id, controller);
+    this.inboundRequests.set(id, controller);
     try {
       const sendPart = (part: unknown) =>
         this.send({kind: 'part', id, body: part});
@@ -280,7 +291,7 @@
       this.options.log.warn('peer_request_failed', {peer: peer.host, detail});
       this.send({kind: 'failure', id, detail});
     } finally {
-      this.serving.delete(id);
+      this.inboundRequests.delete(id);
     }
   }
 
@@ -294,7 +305,7 @@
 async function nextFrame(frames: AsyncGenerator<unknown>): Promise<unknown> {
   const next = await frames.next();
   if (next.done === true) {
-    throw new Error('the connection ended during the handshake');
+    throw new Error('connection closed during the handshake');
   }
   return next.value;
 }
--- a/src/peer/peer_failure.ts
+++ b/src/peer/peer_failure.ts
@@ -1,16 +1,16 @@
 /** How a request to a peer can fail. */
 export const PeerFailureKind = {
-  /** It certainly did not reach the peer. */
+  /** The request was not sent to the peer. */
   NOT_SENT: 'not-sent',
-  /** It may have reached the peer; no reply came. */
+  /** The request was sent, but no reply arrived; the peer may have handled it. */
   SENT: 'sent',
-  /** The peer answered that it failed. */
+  /** The peer replied that its handler failed. */
   REFUSED: 'refused',
 } as const;
 export type PeerFailureKind =
   (typeof PeerFailureKind)[keyof typeof PeerFailureKind];
 
-/** A request to a peer that brought no reply. */
+/** A request to a peer that failed. */
 export class PeerFailure extends Error {
   constructor(
     readonly kind: PeerFailureKind,
--- a/src/peer/peer_link.ts
+++ b/src/peer/peer_link.ts
@@ -3,63 +3,67 @@
 import {PeerIdentity} from './handshake.js';
 import {PeerConnection, PeerConnectionOptions} from './peer_connection.js';
 
-/** What a link works with. */
+/** Options of a link. */
 export interface PeerLinkOptions {
-  /** IP number and port of the peer. */
+  /** IP address and port of the peer. */
   readonly address: string;
   readonly connection: PeerConnectionOptions;
   readonly random: Random;
-  /** Pause between heartbeats, in milliseconds. */
+  /** Interval between a heartbeat reply and the next heartbeat, in milliseconds. */
   readonly heartbeatMs: number;
-  /** Wait for a heartbeat's reply before the connection counts as silent. */
+  /** Time limit for the reply to a heartbeat, in milliseconds; then the connection is replaced. */
   readonly silenceMs: number;
   /**
-   * Makes the heartbeat to send.
-   * @param peer - Whom it is for.
-   * @param acknowledged - What the peer has acknowledged last on this
-   *   connection; `undefined` at first.
+   * Creates the body of the next heartbeat.
+   * @param peer - The peer that it is sent to.
+   * @param acknowledged - The last heartbeat reply on this connection;
+   *   `undefined` for the first heartbeat.
    */
   readonly createHeartbeat: (
     peer: PeerIdentity,
     acknowledged: unknown,
   ) => unknown;
   /**
-   * Told of the reply to each heartbeat.
-   * @param peer - Who replied.
-   * @param reply - The reply; not yet checked.
-   * @param sentMs - When the heartbeat was sent, monotonic milliseconds.
+   * Called with the reply to each heartbeat.
+   * @param peer - The peer that replied.
+   * @param reply - The reply, not validated.
+   * @param sentMs - Time at which the heartbeat was sent, in milliseconds of
+   *   the monotonic clock.
    */
   readonly receiveReply?: (
     peer: PeerIdentity,
     reply: unknown,
     sentMs: number,
   ) => void;
-  /** Told that the peer cannot be connected to, or has fallen silent. */
+  /**
+   * Called each time a connection attempt fails or a connection closes, before
+   * the next attempt. Not called once the link is stopped.
+   */
   readonly onUnreachable?: (address: string) => void;
   readonly onConnected: (connection: PeerConnection) => void;
   readonly onClosed: (connection: PeerConnection) => void;
 }
 
-const CONNECT_MS = 1000;
-const FIRST_PAUSE_MS = 100;
-const MAX_PAUSE_MS = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 1000;
 
 /**
- * Keeps a connection to one peer: connects, sends heartbeats, and replaces a
- * connection that has gone silent by a fresh one. One task, `run`.
+ * Maintains a connection to one peer: connects, sends heartbeats, closes the
+ * connection when a heartbeat fails, and reconnects. `run` drives all of this.
  */
 export class PeerLink {
   private readonly stopped = new AbortController();
-  private beatNow = new AbortController();
-  private pauseMs = FIRST_PAUSE_MS;
+  private heartbeatTrigger = new AbortController();
+  private backoffMs = INITIAL_BACKOFF_MS;
 
   constructor(private readonly options: PeerLinkOptions) {}
 
-  /** Connects and reconnects until stopped. */
+  /** Connects, and reconnects with exponential backoff, until stopped. */
   async run(): Promise<void> {
     const {clock} = this.options.connection;
     while (!this.stopped.signal.aborted) {
-      const socket = await this.dial();
+      const socket = await this.connect();
       if (socket !== undefined) {
         await this.serve(socket);
       }
@@ -67,32 +71,32 @@
         this.options.onUnreachable?.(this.options.address);
       }
       const jitter = 0.5 + this.options.random.next();
-      await clock.sleep(this.pauseMs * jitter, this.stopped.signal);
-      this.pauseMs = Math.min(MAX_PAUSE_MS, this.pauseMs * 2);
+      await clock.sleep(this.backoffMs * jitter, this.stopped.signal);
+      this.backoffMs = Math.min(MAX_BACKOFF_MS, this.backoffMs * 2);
     }
   }
 
-  /** Sends the next heartbeat at once, since there is news. */
+  /** Sends the next heartbeat without waiting for the interval, to deliver updates early. */
   hurry(): void {
-    this.beatNow.abort();
+    this.heartbeatTrigger.abort();
   }
 
-  /** Closes the connection and ends the task. */
+  /** Closes the connection and makes `run` return. */
   stop(): void {
     this.stopped.abort();
   }
 
-  private async dial(): Promise<Socket | undefined> {
-    const colon = this.options.address.lastIndexOf(':');
-    const host = this.options.address.slice(0, colon);
-    const port = Number(this.options.address.slice(colon + 1));
+  private async connect(): Promise<Socket | undefined> {
+    const separator = this.options.address.lastIndexOf(':');
+    const host = this.options.address.slice(0, separator);
+    const port = Number(this.options.address.slice(separator + 1));
     return new Promise(resolve => {
       const socket = connect({host, port});
       const fail = () => {
         socket.destroy();
         resolve(undefined);
       };
-      socket.setTimeout(CONNECT_MS, fail);
+      socket.setTimeout(CONNECT_TIMEOUT_MS, fail);
       socket.once('error', fail);
       socket.once('connect', () => {
         socket.setTimeout(0);
@@ -108,10 +112,10 @@
     const stop = () => connection.close('stopped');
     this.stopped.signal.addEventListener('abort', stop, {once: true});
     const reason = await connection.run(peer => {
-      this.pauseMs = FIRST_PAUSE_MS;
+      this.backoffMs = INITIAL_BACKOFF_MS;
       log.info('peer_connected', {peer: peer.host});
       this.options.onConnected(connection);
-      void this.beat(connection, peer);
+      void this.sendHeartbeats(connection, peer);
     });
     this.stopped.signal.removeEventListener('abort', stop);
     const peer = connection.getPeer();
@@ -123,8 +127,8 @@
     this.options.onClosed(connection);
   }
 
-  /** Sends heartbeats until one goes unanswered. */
-  private async beat(
+  /** Sends heartbeats until one fails, then closes the connection. */
+  private async sendHeartbeats(
     connection: PeerConnection,
     peer: PeerIdentity,
   ): Promise<void> {
@@ -138,13 +142,13 @@
         silenceMs,
       );
       if (reply.isErr) {
-        connection.close(`silent: ${reply.error.message}`);
+        connection.close(`heartbeat failed: ${reply.error.message}`);
         return;
       }
       acknowledged = reply.value;
       this.options.receiveReply?.(peer, reply.value, sentMs);
-      await clock.sleep(heartbeatMs, this.beatNow.signal);
-      this.beatNow = new AbortController();
+      await clock.sleep(heartbeatMs, this.heartbeatTrigger.signal);
+      this.heartbeatTrigger = new AbortController();
     }
   }
 }
--- a/src/peer/peer_listener.ts
+++ b/src/peer/peer_listener.ts
@@ -2,19 +2,19 @@
 import {AddressInfo} from 'node:net';
 import {PeerConnection, PeerConnectionOptions} from './peer_connection.js';
 
-/** Connections that may wait for their handshake at once. */
-const MAX_STRANGERS = 64;
+/** Connections that may be in their handshake at the same time; further ones are closed. */
+const MAX_UNAUTHENTICATED_CONNECTIONS = 64;
 
-/** Accepts connections of peers; one task for each. */
+/** Accepts connections from peers and runs each of them. */
 export class PeerListener {
   private readonly server: Server;
   private readonly connections = new Set<PeerConnection>();
-  private strangers = 0;
+  private unauthenticatedCount = 0;
 
   /**
    * @param options - Options of each connection.
-   * @param onConnected - Called once a peer has proved itself.
-   * @param onClosed - Called when such a connection has ended.
+   * @param onConnected - Called once the peer of a connection is authenticated.
+   * @param onClosed - Called when an authenticated connection has closed.
    */
   constructor(
     private readonly options: PeerConnectionOptions,
@@ -22,7 +22,7 @@
     private readonly onClosed: (connection: PeerConnection) => void,
   ) {
     this.server = createServer(socket => {
-      if (this.strangers >= MAX_STRANGERS) {
+      if (this.unauthenticatedCount >= MAX_UNAUTHENTICATED_CONNECTIONS) {
         socket.destroy();
         return;
       }
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Starts to listen.
-   * @returns The port.
+   * Starts listening.
+   * @returns The port that is listened on.
    */
   async listen(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
@@ -52,19 +52,19 @@
 
   private async serve(connection: PeerConnection): Promise<void> {
     this.connections.add(connection);
-    this.strangers++;
-    let known = false;
+    this.unauthenticatedCount++;
+    let authenticated = false;
     const reason = await connection.run(() => {
-      known = true;
-      this.strangers--;
+      authenticated = true;
+      this.unauthenticatedCount--;
       this.onConnected(connection);
     });
     this.connections.delete(connection);
-    if (known) {
+    if (authenticated) {
       this.onClosed(connection);
       return;
     }
-    this.strangers--;
+    this.unauthenticatedCount--;
     this.options.log.warn('stranger_dropped', {reason});
   }
 }
--- a/src/peer/peers.ts
+++ b/src/peer/peers.ts
@@ -6,17 +6,19 @@
 import {PeerLink, PeerLinkOptions} from './peer_link.js';
 import {PeerListener} from './peer_listener.js';
 
-/** What the peers façade works with. */
+/** Options of `Peers`. */
 export interface PeersOptions {
   readonly connection: PeerConnectionOptions;
   readonly random: Random;
+  /** See `PeerLinkOptions`. */
   readonly heartbeatMs: number;
+  /** See `PeerLinkOptions`; also the longest wait for a connection made for a request. */
   readonly silenceMs: number;
-  /** Addresses to try while no host is known. */
+  /** Addresses to connect to while no peer is connected; their links are then kept. */
   readonly seeds: readonly string[];
-  /** Returns the hosts that could be linked to. */
+  /** Returns the hosts that connections can be opened to. */
   readonly listCandidates: () => readonly LinkCandidate[];
-  /** Returns those to keep linked with; left out, `chooseLinks` does. */
+  /** Returns the hosts to keep connections to; default: the choice of `chooseLinks`. */
   readonly listLinks?: () => readonly LinkCandidate[];
   /** See `PeerLinkOptions.createHeartbeat`. */
   readonly createHeartbeat: PeerLinkOptions['createHeartbeat'];
@@ -26,15 +28,18 @@
   readonly onUnreachable?: PeerLinkOptions['onUnreachable'];
 }
 
-const UPDATE_MS = 500;
-const DIAL_POLL_MS = 20;
-/** Time for which a link is kept that was made for one request, in ms. */
-const ON_DEMAND_MS = 5000;
+const LINK_UPDATE_INTERVAL_MS = 500;
+const CONNECT_POLL_INTERVAL_MS = 20;
+/** How long a link made for a request is kept after the last such request, in ms. */
+const ON_DEMAND_LINK_TTL_MS = 5000;
 
-/** All connections to and from peers. */
+/** Maintains all connections to and from peers, and sends requests over them. */
 export class Peers {
   private readonly links = new Map<string, PeerLink>();
-  /** Links made for a request, by address, with when they were asked for last. */
+  /**
+   * Links made for a request: address to the time at which a request last
+   * needed one, in milliseconds of the monotonic clock.
+   */
   private readonly onDemand = new Map<string, number>();
   private readonly connections = new Map<string, PeerConnection[]>();
   private readonly listener: PeerListener;
@@ -47,27 +52,30 @@
     );
   }
 
-  /** Starts to listen; returns the port. */
+  /** Starts listening; returns the port. */
   listen(host: string, port: number): Promise<number> {
     return this.listener.listen(host, port);
   }
 
-  /** Keeps links to the chosen peers until aborted. */
+  /** Maintains links to the chosen peers until aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.updateLinks();
-      await this.options.connection.clock.sleep(UPDATE_MS, signal);
+      await this.options.connection.clock.sleep(
+        LINK_UPDATE_INTERVAL_MS,
+        signal,
+      );
     }
   }
 
-  /** Sends every peer a heartbeat at once, since there is news. */
+  /** Makes every link send a heartbeat without waiting for the interval, to deliver updates early. */
   hurry(): void {
     for (const link of this.links.values()) {
       link.hurry();
     }
   }
 
-  /** Closes everything. */
+  /** Closes all connections and stops listening. */
   stop(): void {
     for (const link of this.links.values()) {
       link.stop();
@@ -75,17 +83,18 @@
     this.listener.stop();
   }
 
-  /** Returns the names of the hosts connected now. */
+  /** Returns the names of the hosts that are connected. */
   listConnected(): readonly string[] {
     return [...this.connections.keys()];
   }
 
   /**
-   * Sends a request to a host, connecting to it first if need be.
+   * Sends a request to a host and waits for its reply. Connects to the host
+   * first if there is no connection.
    * @param host - Name of the host.
    * @param body - The request.
-   * @param timeoutMs - Limit on the whole exchange, in milliseconds.
-   * @param onPart - Called for each part that comes before the reply.
+   * @param timeoutMs - Time limit for connecting and the reply, in milliseconds.
+   * @param onPart - Called for each part that arrives before the reply.
    * @param signal - Cancels the request.
    */
   async request(
@@ -129,7 +138,7 @@
       if (connected !== undefined) {
         return connected;
       }
-      await clock.sleep(DIAL_POLL_MS);
+      await clock.sleep(CONNECT_POLL_INTERVAL_MS);
     }
     return undefined;
   }
@@ -161,8 +170,8 @@
 
   private listOnDemand(): string[] {
     const nowMs = this.options.connection.clock.monotonicMs();
-    for (const [address, askedMs] of this.onDemand) {
-      if (nowMs - askedMs > ON_DEMAND_MS) {
+    for (const [address, lastRequestedMs] of this.onDemand) {
+      if (nowMs - lastRequestedMs > ON_DEMAND_LINK_TTL_MS) {
         this.onDemand.delete(address);
       }
     }
@@ -207,7 +216,7 @@
   }
 }
 
-/** Returns the callbacks that a link may do without. */
+/** Returns the optional callbacks that are defined. */
 function pickCallbacks({
   receiveReply,
   onUnreachable,
--- a/test/peer/frame_test.ts
+++ b/test/peer/frame_test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {encodeFrame, FrameReader} from '../../src/peer/index.js';
 
-const LIMIT = 10_000;
+const MAX_FRAME_BYTES = 10_000;
 
 describe('FrameReader', () => {
   function readAll(reader: FrameReader): unknown[] {
@@ -16,19 +16,19 @@
     }
   }
 
-  it('reads what was written, however the bytes are cut', () => {
+  it('decodes every frame, however the byte stream is split into chunks', () => {
     const values = fc.array(fc.dictionary(fc.string(), fc.string()), {
       maxLength: 5,
     });
-    const cuts = fc.array(fc.integer({min: 1, max: 40}), {minLength: 1});
+    const chunkSizes = fc.array(fc.integer({min: 1, max: 40}), {minLength: 1});
     fc.assert(
-      fc.property(values, cuts, (sent, sizes) => {
+      fc.property(values, chunkSizes, (sent, sizes) => {
         const bytes = Buffer.concat(sent.map(value => encodeFrame(value)));
-        const reader = new FrameReader(LIMIT);
+        const reader = new FrameReader(MAX_FRAME_BYTES);
         const received: unknown[] = [];
         let start = 0;
-        for (let turn = 0; start < bytes.length; turn++) {
-          const size = sizes[turn % sizes.length] ?? 1;
+        for (let index = 0; start < bytes.length; index++) {
+          const size = sizes[index % sizes.length] ?? 1;
           reader.add(bytes.subarray(start, start + size));
           received.push(...readAll(reader));
           start += size;
@@ -41,15 +41,15 @@
     );
   });
 
-  it('refuses a frame over the limit before it is read', () => {
-    const reader = new FrameReader(LIMIT);
+  it('refuses a frame over the size limit as soon as its length is read', () => {
+    const reader = new FrameReader(MAX_FRAME_BYTES);
     reader.add(Buffer.from([0x7f, 0xff, 0xff, 0xff]));
     const frame = reader.read();
-    expect(frame.isErr && frame.error).to.include('exceeds 10000');
+    expect(frame.isErr && frame.error).to.include('exceeds the limit of 10000');
   });
 
   it('refuses a body that is not CBOR', () => {
-    const reader = new FrameReader(LIMIT);
+    const reader = new FrameReader(MAX_FRAME_BYTES);
     reader.add(Buffer.from([0, 0, 0, 3, 0xff, 0xff, 0xff]));
     expect(reader.read().isErr).to.equal(true);
   });
--- a/test/peer/peers_test.ts
+++ b/test/peer/peers_test.ts
@@ -3,10 +3,10 @@
 import {PeerConnectionOptions, Peers} from '../../src/peer/index.js';
 import {SeededRandom} from '../../src/random/index.js';
 import {SystemClock} from '../../src/time/index.js';
-import {SilentRelay} from './silent_relay.js';
+import {StallingProxy} from './stalling_proxy.js';
 
 const HEARTBEAT_MS = 40;
-const SILENCE_MS = 120;
+const HEARTBEAT_TIMEOUT_MS = 120;
 
 describe('Peers', () => {
   const clock = new SystemClock();
@@ -15,15 +15,15 @@
     host: string,
     key: string,
     seeds: readonly string[],
-    beats: string[] = [],
+    heartbeatSenders: string[] = [],
   ): Peers {
     const connection: PeerConnectionOptions = {
-      self: {host, dataCentre: 'tac', incarnation: `start-of-${host}`},
+      self: {host, dataCentre: 'tac', incarnation: `incarnation-of-${host}`},
       key,
       maxFrameBytes: 100_000,
-      idleLimitMs: 2 * (HEARTBEAT_MS + SILENCE_MS),
+      idleLimitMs: 2 * (HEARTBEAT_MS + HEARTBEAT_TIMEOUT_MS),
       handle: async (request, from) => {
-        beats.push(from.host);
+        heartbeatSenders.push(from.host);
         return {echo: request};
       },
       clock,
@@ -33,73 +33,77 @@
       connection,
       random: new SeededRandom(1),
       heartbeatMs: HEARTBEAT_MS,
-      silenceMs: SILENCE_MS,
+      silenceMs: HEARTBEAT_TIMEOUT_MS,
       seeds,
       listCandidates: () => [],
       createHeartbeat: () => ({kind: 'beat'}),
     });
   }
 
-  async function waitFor(holds: () => boolean): Promise<void> {
-    while (!holds()) {
+  async function waitFor(condition: () => boolean): Promise<void> {
+    while (!condition()) {
       await clock.sleep(5);
     }
   }
 
-  it('replaces a connection that goes silent while new ones work', async () => {
-    const beats: string[] = [];
-    const far = createPeers('far', 'shared-key', [], beats);
-    const relay = new SilentRelay(await far.listen('127.0.0.1', 0));
-    const seed = `127.0.0.1:${await relay.listen()}`;
-    const near = createPeers('near', 'shared-key', [seed]);
+  it('replaces a stalled connection while new connections work', async () => {
+    const heartbeatSenders: string[] = [];
+    const remote = createPeers('remote', 'shared-key', [], heartbeatSenders);
+    const proxy = new StallingProxy(await remote.listen('127.0.0.1', 0));
+    const seed = `127.0.0.1:${await proxy.listen()}`;
+    const local = createPeers('local', 'shared-key', [seed]);
     const stop = new AbortController();
-    void near.run(stop.signal);
-    await waitFor(() => near.listConnected().includes('far'));
-    relay.loseTrack();
-    // The old connection is found silent and dropped…
-    await waitFor(() => !near.listConnected().includes('far'));
-    // …and a fresh one takes its place.
-    await waitFor(() => near.listConnected().includes('far'));
-    const reply = await near.request('far', {kind: 'question'}, 1000);
+    void local.run(stop.signal);
+    await waitFor(() => local.listConnected().includes('remote'));
+    proxy.stallConnections();
+    // The stalled connection is closed because its heartbeat is not answered.
+    await waitFor(() => !local.listConnected().includes('remote'));
+    // A new connection replaces it.
+    await waitFor(() => local.listConnected().includes('remote'));
+    const reply = await local.request('remote', {kind: 'question'}, 1000);
     expect(reply.isOk).to.equal(true);
     stop.abort();
-    near.stop();
-    far.stop();
-    relay.stop();
+    local.stop();
+    remote.stop();
+    proxy.stop();
   });
 
-  it('settles the request on a silent connection as one that may have arrived', async () => {
-    const far = createPeers('far', 'shared-key', []);
-    const relay = new SilentRelay(await far.listen('127.0.0.1', 0));
-    const seed = `127.0.0.1:${await relay.listen()}`;
-    const near = createPeers('near', 'shared-key', [seed]);
+  it('fails a request on a stalled connection as sent, since it may have arrived', async () => {
+    const remote = createPeers('remote', 'shared-key', []);
+    const proxy = new StallingProxy(await remote.listen('127.0.0.1', 0));
+    const seed = `127.0.0.1:${await proxy.listen()}`;
+    const local = createPeers('local', 'shared-key', [seed]);
     const stop = new AbortController();
-    void near.run(stop.signal);
-    await waitFor(() => near.listConnected().includes('far'));
-    relay.loseTrack();
-    const reply = await near.request('far', {kind: 'question'}, 10_000);
+    void local.run(stop.signal);
+    await waitFor(() => local.listConnected().includes('remote'));
+    proxy.stallConnections();
+    const reply = await local.request('remote', {kind: 'question'}, 10_000);
     expect(reply.isErr && reply.error.kind).to.equal('sent');
     stop.abort();
-    near.stop();
-    far.stop();
-    relay.stop();
+    local.stop();
+    remote.stop();
+    proxy.stop();
   });
 
-  it('admits nobody who does not know the shared key', async () => {
-    const beats: string[] = [];
-    const far = createPeers('far', 'shared-key', [], beats);
-    const port = await far.listen('127.0.0.1', 0);
-    const stranger = createPeers('x', 'another-key', [`127.0.0.1:${port}`]);
-    const friend = createPeers('near', 'shared-key', [`127.0.0.1:${port}`]);
+  it('refuses a peer that does not know the shared key', async () => {
+    const heartbeatSenders: string[] = [];
+    const remote = createPeers('remote', 'shared-key', [], heartbeatSenders);
+    const port = await remote.listen('127.0.0.1', 0);
+    const unauthenticated = createPeers('x', 'another-key', [
+      `127.0.0.1:${port}`,
+    ]);
+    const authenticated = createPeers('local', 'shared-key', [
+      `127.0.0.1:${port}`,
+    ]);
     const stop = new AbortController();
-    void stranger.run(stop.signal);
-    void friend.run(stop.signal);
-    await waitFor(() => beats.length >= 3);
-    expect(new Set(beats)).to.deep.equal(new Set(['near']));
-    expect(far.listConnected()).to.deep.equal(['near']);
+    void unauthenticated.run(stop.signal);
+    void authenticated.run(stop.signal);
+    await waitFor(() => heartbeatSenders.length >= 3);
+    expect(new Set(heartbeatSenders)).to.deep.equal(new Set(['local']));
+    expect(remote.listConnected()).to.deep.equal(['local']);
     stop.abort();
-    stranger.stop();
-    friend.stop();
-    far.stop();
+    unauthenticated.stop();
+    authenticated.stop();
+    remote.stop();
   });
 });
