--- a/src/configuration/check_references.ts
+++ b/src/configuration/check_references.ts
@@ -4,10 +4,12 @@
 import {RecordDocument, RecordKind} from './stored_record.js';
 
 /**
- * Finds names in a record that stand for nothing in the configuration.
- * @param document - A valid document of the current version.
- * @param view - The configuration it would join.
- * @returns One line per mistake, with the names that would do.
+ * Finds references of a deployment to servers, customers, data centres or
+ * services that the configuration does not contain.
+ * @param document - A valid document of the current schema version; records of
+ *   other kinds hold no references.
+ * @param view - The configuration that the record would be added to.
+ * @returns One line per unknown name, with the names that exist.
  */
 export function findUnknownReferences(
   document: RecordDocument,
@@ -25,7 +27,7 @@
     ...findUnknown('dataCentres', deployment.dataCentres, [
       ...new Set([...view.servers.values()].map(server => server.dataCentre)),
     ]),
-    ...findUnservedService(deployment, view),
+    ...findUnknownService(deployment, view),
   ];
 }
 
@@ -34,18 +36,18 @@
   used: readonly string[],
   known: readonly string[],
 ): string[] {
-  const mistakes: string[] = [];
+  const errors: string[] = [];
   for (const name of used) {
     if (!known.includes(name)) {
-      mistakes.push(
-        `${member}: "${name}" is not known; known: ${known.join(', ') || '(none)'}`,
+      errors.push(
+        `${member}: "${name}" does not exist; known: ${known.join(', ') || '(none)'}`,
       );
     }
   }
-  return mistakes;
+  return errors;
 }
 
-function findUnservedService(
+function findUnknownService(
   deployment: Deployment,
   view: ConfigurationView,
 ): string[] {
--- a/src/configuration/configuration_store.ts
+++ b/src/configuration/configuration_store.ts
@@ -6,14 +6,14 @@
   StoredRecord,
 } from './stored_record.js';
 
-/** Told of every step to a higher revision. */
+/** Called after each change to a higher revision. */
 export type RevisionListener = (view: ConfigurationView) => void;
 
 /**
- * The configuration in force on this host.
+ * The configuration that is in force on this host.
  *
- * It steps only to higher revisions, so what was once in force never comes
- * back, whatever a peer or the table says.
+ * The revision only increases. Deltas of the current or an older revision are
+ * ignored, so a peer or the table cannot restore an outdated configuration.
  */
 export class ConfigurationStore {
   private records = new Map<string, StoredRecord>();
@@ -24,27 +24,30 @@
     this.currentView = createView(0, []).view;
   }
 
-  /** Returns the records in force, parsed. */
+  /** Returns the parsed records that are in force. */
   getView(): ConfigurationView {
     return this.currentView;
   }
 
-  /** Returns the revision in force; 0 while nothing has been learnt. */
+  /** Returns the revision in force; 0 before the first delta is applied. */
   getRevision(): number {
     return this.currentView.revision;
   }
 
-  /** Returns one stored record, deleted ones included. */
+  /**
+   * Returns one stored record, also if it is deleted.
+   * @param key - See `getRecordKey`.
+   */
   getRecord(key: string): StoredRecord | undefined {
     return this.records.get(key);
   }
 
-  /** Returns every stored record, deleted ones included. */
+  /** Returns all stored records, including deleted ones. */
   listRecords(): readonly StoredRecord[] {
     return [...this.records.values()];
   }
 
-  /** Returns what changed after a revision. */
+  /** Returns the records that changed after a revision, including deleted ones. */
   getDelta(after: number): ConfigurationDelta {
     const records: StoredRecord[] = [];
     for (const record of this.records.values()) {
@@ -56,10 +59,11 @@
   }
 
   /**
-   * Steps to the revision of a delta, if it is higher and leaves no gap.
-   * @param delta - What changed.
-   * @param source - Where it came from, for the log.
-   * @returns Whether the revision rose.
+   * Applies a delta if its revision is higher than the current one and it
+   * leaves out no revision in between. Then calls the listeners.
+   * @param delta - The changed records.
+   * @param source - Origin of the delta, for the log.
+   * @returns Whether the delta was applied.
    */
   apply(delta: ConfigurationDelta, source: string): boolean {
     const current = this.getRevision();
@@ -91,7 +95,8 @@
   }
 
   /**
-   * Forgets everything; only the broken variant of a proof does that.
+   * Removes all records and resets the revision to 0. Only for a deliberately
+   * faulty variant that the checks in src/prove must detect.
    * @internal
    */
   protected reset(): void {
--- a/src/configuration/configuration_table.ts
+++ b/src/configuration/configuration_table.ts
@@ -21,53 +21,57 @@
 const RECORD_PREFIX = 'config/records/';
 const CHANGE_PREFIX = 'config/changes/';
 const REVISION_DIGITS = 10;
-const READ_ATTEMPTS = 4;
-const RETRY_MS = 100;
+const MAX_READ_ATTEMPTS = 4;
+const RETRY_INTERVAL_MS = 100;
 
-/** Row that carries the revision of the whole configuration. */
+/** Value of the row that holds the revision of the whole configuration. */
 interface Head {
   readonly revision: number;
 }
 
-/** A change that an operator asks for. */
+/** A change that an operator requests. */
 export interface ConfigurationChange {
   readonly kind: RecordKind;
   readonly name: string;
-  /** New document; null to delete. */
+  /** New document; null to delete the record. */
   readonly document: RecordDocument | null;
-  /** Revision the record was read at; 0 when it must not exist yet. */
+  /** Revision of the record that the change is based on; 0 when it must not exist. */
   readonly madeOn: number;
-  /** Unique per change. */
+  /** Unique id of the change. */
   readonly changeId: string;
 }
 
-/** How a change can fail. */
+/** Reasons for which a change can fail. */
 export const ChangeFailureKind = {
-  /** Another change of the same record came first. */
+  /** The record is not at the revision that the change is based on. */
   CONFLICT: 'conflict',
-  /** The table was not reached; nothing was written. */
+  /**
+   * Nothing was written before the time limit: the table could not be reached,
+   * or other changes were always written first.
+   */
   UNREACHED: 'unreached',
-  /** Whether it was written could not be found out in time. */
+  /** Whether the change was written could not be determined within the time limit. */
   UNANSWERED: 'unanswered',
 } as const;
 
-/** Outcomes of one try that another try can settle. */
-const Unsettled = {
-  /** The configuration moved on between the read and the write. */
+/** Failures of one write attempt after which the write is tried again. */
+const RetryableFailure = {
+  /** The configuration changed between the read and the write. */
   OVERTAKEN: 'overtaken',
   UNREACHED: TableFailureKind.UNREACHED,
   UNANSWERED: TableFailureKind.UNANSWERED,
 } as const;
-type Unsettled = (typeof Unsettled)[keyof typeof Unsettled];
+type RetryableFailure =
+  (typeof RetryableFailure)[keyof typeof RetryableFailure];
 
 /** A failed change. */
 export interface ChangeFailure {
   readonly kind: (typeof ChangeFailureKind)[keyof typeof ChangeFailureKind];
-  /** On a conflict: the record as it now stands. */
+  /** On a conflict: the current record. */
   readonly winner?: StoredRecord;
 }
 
-/** The configuration as the platform's table keeps it. */
+/** Reads and writes the configuration in the platform's table. */
 export class ConfigurationTable {
   constructor(
     private readonly table: TableService,
@@ -81,17 +85,18 @@
   }
 
   /**
-   * Reads every record, at one revision.
+   * Reads all records of one revision.
    *
-   * The head is read before and after the list: only when both agree does the
-   * list show one revision.
+   * The revision is read before and after the records. Only if both are equal
+   * do the records belong to a single revision; otherwise the read is repeated,
+   * up to `MAX_READ_ATTEMPTS` times.
    */
   async read(): Promise<Result<ConfigurationDelta, TableFailure>> {
     let failure: TableFailure = {
       kind: TableFailureKind.UNANSWERED,
-      detail: 'the configuration kept changing while it was read',
+      detail: 'the configuration changed during every attempt to read it',
     };
-    for (let attempt = 0; attempt < READ_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
       const before = await this.getRevision();
       const rows = await this.table.list(RECORD_PREFIX);
       const after = await this.getRevision();
@@ -114,18 +119,19 @@
   }
 
   /**
-   * Writes a change under the next revision, if nobody was faster.
+   * Writes a change as the next revision, unless the record has changed since.
    *
-   * A lost answer is settled by doing it again: the change id tells whether
-   * the first try took effect, and the row versions keep it from doing so late.
+   * If the response to a write is lost, the write is tried again: the change id
+   * shows whether the first attempt took effect, and the conditions on the row
+   * versions prevent it from taking effect later.
    * @param change - The change.
-   * @param patienceMs - How long to go on settling, in milliseconds.
+   * @param timeoutMs - How long to retry, in milliseconds.
    */
   async write(
     change: ConfigurationChange,
-    patienceMs: number,
+    timeoutMs: number,
   ): Promise<Result<StoredRecord, ChangeFailure>> {
-    const endMs = this.clock.monotonicMs() + patienceMs;
+    const endMs = this.clock.monotonicMs() + timeoutMs;
     let inDoubt = false;
     for (;;) {
       const attempt = await this.writeOnce(change, inDoubt);
@@ -135,35 +141,36 @@
       if (typeof attempt.error === 'object') {
         return Result.err(attempt.error);
       }
-      inDoubt ||= attempt.error === Unsettled.UNANSWERED;
+      inDoubt ||= attempt.error === RetryableFailure.UNANSWERED;
       if (this.clock.monotonicMs() >= endMs) {
         const kind = inDoubt
           ? ChangeFailureKind.UNANSWERED
           : ChangeFailureKind.UNREACHED;
         return Result.err({kind});
       }
-      await this.clock.sleep(RETRY_MS);
+      await this.clock.sleep(RETRY_INTERVAL_MS);
     }
   }
 
   private async writeOnce(
     change: ConfigurationChange,
     inDoubt: boolean,
-  ): Promise<Result<StoredRecord, ChangeFailure | Unsettled>> {
+  ): Promise<Result<StoredRecord, ChangeFailure | RetryableFailure>> {
     const recordKey = RECORD_PREFIX + getRecordKey(change.kind, change.name);
     const head = await this.table.get(HEAD_KEY);
     const row = await this.table.get(recordKey);
     if (head.isErr || row.isErr) {
-      return Result.err(Unsettled.UNREACHED);
+      return Result.err(RetryableFailure.UNREACHED);
     }
     const current = row.value?.value as StoredRecord | undefined;
     if (current?.changeId === change.changeId) {
       return Result.ok(current);
     }
-    const standing = current?.document === null ? 0 : (current?.revision ?? 0);
-    if (standing !== change.madeOn) {
+    const currentRevision =
+      current?.document === null ? 0 : (current?.revision ?? 0);
+    if (currentRevision !== change.madeOn) {
       return inDoubt
-        ? this.findOvertaken(change, current)
+        ? this.findSuperseded(change, current)
         : Result.err(toConflict(current));
     }
     const known = (head.value?.value as Head | undefined)?.revision ?? 0;
@@ -178,19 +185,19 @@
     }
     return Result.err(
       commit.error.kind === TableFailureKind.CONFLICT
-        ? Unsettled.OVERTAKEN
+        ? RetryableFailure.OVERTAKEN
         : commit.error.kind,
     );
   }
 
-  /** Finds out whether a change in doubt took effect before a later one. */
-  private async findOvertaken(
+  /** Determines whether a change in doubt was written and then replaced by a later change. */
+  private async findSuperseded(
     change: ConfigurationChange,
     winner: StoredRecord | undefined,
-  ): Promise<Result<StoredRecord, ChangeFailure | Unsettled>> {
+  ): Promise<Result<StoredRecord, ChangeFailure | RetryableFailure>> {
     const rows = await this.table.list(CHANGE_PREFIX);
     if (rows.isErr) {
-      return Result.err(Unsettled.UNREACHED);
+      return Result.err(RetryableFailure.UNREACHED);
     }
     for (const row of rows.value) {
       const record = row.value as StoredRecord;
--- a/src/configuration/configuration_view.ts
+++ b/src/configuration/configuration_view.ts
@@ -7,27 +7,30 @@
 import {Server} from './server.js';
 import {RecordKind, StoredRecord} from './stored_record.js';
 
-/** The records of one revision, parsed for use. */
+/** The parsed records of one revision. */
 export interface ConfigurationView {
   readonly revision: number;
   readonly deployments: ReadonlyMap<string, Deployment>;
   readonly customers: ReadonlyMap<string, Customer>;
   readonly servers: ReadonlyMap<string, Server>;
-  /** Customers by the hash of each of their keys. */
+  /** Customers by the SHA-256 hash of each of their keys. */
   readonly customersByKeyHash: ReadonlyMap<string, Customer>;
 }
 
-/** A view and the records this release could not read. */
+/** A view, and the records that this release could not parse. */
 export interface ParsedConfiguration {
   readonly view: ConfigurationView;
-  /** Keys of records of unknown versions; they are kept and passed on. */
+  /**
+   * Keys of records that could not be parsed, such as those of unknown schema
+   * versions. They are left out of the view, but stored and passed on.
+   */
   readonly unreadable: readonly string[];
 }
 
 /**
  * Parses stored records into a view.
- * @param revision - Revision the records stand at.
- * @param records - Every record, deleted ones included.
+ * @param revision - Revision of the records.
+ * @param records - All records, including deleted ones.
  */
 export function createView(
   revision: number,
--- a/src/configuration/convert_record.ts
+++ b/src/configuration/convert_record.ts
@@ -1,4 +1,4 @@
-/** Conversion between schema versions, both ways, with nothing lost. */
+/** Lossless conversion of records between schema versions, in both directions. */
 import {CustomerV1, CustomerV2} from './customer_schema.js';
 import {
   DeploymentV1,
@@ -7,8 +7,11 @@
 } from './deployment_schema.js';
 import {TargetKind} from './deployment.js';
 
-/** Raises a deployment to version 2; its `extensions` become members again. */
-export function raiseDeployment(document: DeploymentV1): unknown {
+/**
+ * Converts a deployment from version 1 to 2. Members in `extensions` become
+ * members of the document again; changes made in version 1 take precedence.
+ */
+export function upgradeDeployment(document: DeploymentV1): unknown {
   const {
     model,
     adapters,
@@ -18,34 +21,37 @@
     extensions = {},
     ...common
   } = document;
-  const {target: keptTarget, urgency, ...kept} = extensions;
+  const {target: extensionTarget, urgency, ...otherExtensions} = extensions;
   const target =
     service === undefined
-      ? {kind: TargetKind.MODEL, ...splitModel(model), adapters}
+      ? {kind: TargetKind.MODEL, ...splitModelReference(model), adapters}
       : {kind: TargetKind.SERVICE, service, repeat};
   return {
     ...common,
-    ...kept,
+    ...otherExtensions,
     schemaVersion: 2,
-    target: {...(keptTarget as object | undefined), ...target},
+    target: {...(extensionTarget as object | undefined), ...target},
     urgency: restoreUrgency(priority, urgency),
   };
 }
 
-/** Lowers a deployment to version 1; what it cannot say goes to `extensions`. */
-export function lowerDeployment(document: DeploymentV2): unknown {
+/**
+ * Converts a deployment from version 2 to 1. Members that version 1 does not
+ * have are put into `extensions`.
+ */
+export function downgradeDeployment(document: DeploymentV2): unknown {
   const {target, urgency, latencyTarget, weights, replicas, ...common} =
     document;
   const {kind: _kind, ...targetMembers} = target;
-  const flat =
+  const flatMembers =
     target.kind === TargetKind.MODEL
       ? {model: `${target.model}@${target.version}`, adapters: target.adapters}
       : {service: target.service, repeat: target.repeat};
   return {
     ...common,
-    ...flat,
+    ...flatMembers,
     schemaVersion: 1,
-    priority: nameUrgency(urgency),
+    priority: toPriority(urgency),
     extensions: {
       target: targetMembers,
       urgency,
@@ -56,21 +62,24 @@
   };
 }
 
-/** Raises a customer to version 2. */
-export function raiseCustomer(document: CustomerV1): unknown {
+/**
+ * Converts a customer from version 1 to 2. The exact weight in `extensions` is
+ * restored, unless the rounded `share` was changed.
+ */
+export function upgradeCustomer(document: CustomerV1): unknown {
   const {share, extensions = {}, ...common} = document;
-  const {weight, ...kept} = extensions;
+  const {weight, ...otherExtensions} = extensions;
   const unchanged = typeof weight === 'number' && toShare(weight) === share;
   return {
     ...common,
-    ...kept,
+    ...otherExtensions,
     schemaVersion: 2,
     weight: unchanged ? weight : share,
   };
 }
 
-/** Lowers a customer to version 1. */
-export function lowerCustomer(document: CustomerV2): unknown {
+/** Converts a customer from version 2 to 1, with the weight rounded to a `share`. */
+export function downgradeCustomer(document: CustomerV2): unknown {
   const {weight, mostUrgent, ...common} = document;
   return {
     ...common,
@@ -80,7 +89,7 @@
   };
 }
 
-function splitModel(text = ''): {model: string; version: string} {
+function splitModelReference(text = ''): {model: string; version: string} {
   const [model = '', version = ''] = text.split('@');
   return {model, version};
 }
@@ -89,19 +98,19 @@
   return Math.max(1, Math.round(weight));
 }
 
-function nameUrgency(urgency: number): keyof typeof PRIORITY_URGENCY {
+function toPriority(urgency: number): keyof typeof PRIORITY_URGENCY {
   if (urgency < PRIORITY_URGENCY.normal) {
     return 'high';
   }
   return urgency < PRIORITY_URGENCY.low ? 'normal' : 'low';
 }
 
-/** Keeps the exact urgency unless the named priority was changed since. */
+/** Returns the exact urgency of `extensions`, unless the named priority was changed. */
 function restoreUrgency(
   priority: keyof typeof PRIORITY_URGENCY,
   urgency: unknown,
 ): number {
-  if (typeof urgency === 'number' && nameUrgency(urgency) === priority) {
+  if (typeof urgency === 'number' && toPriority(urgency) === priority) {
     return urgency;
   }
   return PRIORITY_URGENCY[priority];
--- a/src/configuration/customer_schema.ts
+++ b/src/configuration/customer_schema.ts
@@ -11,7 +11,7 @@
   )
   .min(1);
 
-/** Version 1: whole-number shares under the name "share". */
+/** Version 1: an integer "share" in place of a weight. */
 export const customerSchemaV1 = z.looseObject({
   schemaVersion: z.literal(1),
   kind: z.literal('customer'),
@@ -21,7 +21,7 @@
   extensions: z.record(z.string(), z.unknown()).optional(),
 });
 
-/** Version 2: any positive weight, and a ceiling on urgency. */
+/** Version 2: any positive weight, and a limit on urgency. */
 export const customerSchemaV2 = z.looseObject({
   schemaVersion: z.literal(2),
   kind: z.literal('customer'),
--- a/src/configuration/deployment.ts
+++ b/src/configuration/deployment.ts
@@ -1,18 +1,18 @@
-/** Kinds of thing that a deployment serves. */
+/** Kinds of target that a deployment serves. */
 export const TargetKind = {MODEL: 'model', SERVICE: 'service'} as const;
 
-/** Whether calls to a plain service may be repeated. */
+/** Whether a call to a plain service may be sent more than once. */
 export const Repeat = {
-  /** Any call may be sent twice. */
+  /** Any call may be sent again. */
   SAFE: 'safe',
-  /** The service itself answers a repeated key with its first answer. */
+  /** The service deduplicates: it answers a repeated key with its first answer. */
   DEDUPLICATED: 'deduplicated',
-  /** A call runs at most once; only GET, HEAD and OPTIONS may be sent twice. */
+  /** A call runs at most once; only GET, HEAD and OPTIONS may be sent again. */
   NEVER: 'never',
 } as const;
 export type Repeat = (typeof Repeat)[keyof typeof Repeat];
 
-/** A model, in one version, with its adapters. */
+/** One version of a model, with its adapters. */
 export interface ModelTarget {
   readonly kind: 'model';
   readonly model: string;
@@ -23,30 +23,30 @@
 /** A plain service. */
 export interface ServiceTarget {
   readonly kind: 'service';
-  /** Name that server records give in `serves`. */
+  /** Name of the service, as in the `service` member of server records. */
   readonly service: string;
   readonly repeat: Repeat;
-  /** Whether the service answers "GET /outcomes/KEY". */
+  /** Whether the service answers "GET /outcomes/KEY" with the outcome of an earlier call. */
   readonly answersLookups: boolean;
 }
 
-/** Latencies to be met for 95 in 100 requests. */
+/** Latency targets, to be met by 95 % of the requests. */
 export interface LatencyTarget {
-  /** Milliseconds to the first token or to the answer of a service. */
+  /** Milliseconds to the first token, or to the answer of a service. */
   readonly firstTokenMs: number;
   /** Milliseconds between tokens. */
   readonly betweenTokensMs: number;
 }
 
-/** What a deployment's losses cost it, in any one unit. */
+/** Relative costs of lost work and delay for a deployment, all in the same unit. */
 export interface LossWeights {
   /** Cost of one recomputed token. */
   readonly recomputedToken: number;
-  /** Cost of one second past the latency target. */
+  /** Cost of one second of delay past the latency target. */
   readonly lateSecond: number;
 }
 
-/** What runs where, at what priority, and for which customers. */
+/** A model or service to run: where, with which urgency and for which customers. */
 export interface Deployment {
   readonly name: string;
   readonly target: ModelTarget | ServiceTarget;
@@ -54,12 +54,12 @@
   readonly customers: readonly string[];
   /** Data centres it runs in; empty for all. */
   readonly dataCentres: readonly string[];
-  /** Servers it runs on; empty for any that has the target. */
+  /** Names of the servers it runs on; empty for any server that has the target. */
   readonly servers: readonly string[];
   /** 0 is the most urgent, 7 the least (RFC 9218). */
   readonly urgency: number;
   readonly latencyTarget: LatencyTarget;
   readonly weights: LossWeights;
-  /** Servers wanted per data centre. */
+  /** Desired number of servers per data centre. */
   readonly replicas: number;
 }
--- a/src/configuration/deployment_schema.ts
+++ b/src/configuration/deployment_schema.ts
@@ -7,12 +7,12 @@
 const DEFAULT_FIRST_TOKEN_MS = 310;
 const DEFAULT_BETWEEN_TOKENS_MS = 72;
 
-/** Urgency that each named priority of version 1 stands for. */
+/** Urgency of each named priority of version 1. */
 export const PRIORITY_URGENCY = {high: 1, normal: 3, low: 6} as const;
 
-const names = z.array(nameSchema).default([]);
+const nameList = z.array(nameSchema).default([]);
 
-/** Version 1: flat, with named priorities and "model@version". */
+/** Version 1: a flat document with named priorities and models as "NAME@VERSION". */
 export const deploymentSchemaV1 = z.looseObject({
   schemaVersion: z.literal(1),
   kind: z.literal('deployment'),
@@ -21,40 +21,43 @@
     .string()
     .regex(/^[^@\s]+@[^@\s]+$/, 'must be NAME@VERSION')
     .optional(),
-  adapters: names,
+  adapters: nameList,
   service: nameSchema.optional(),
   repeat: z.enum(Object.values(Repeat)).default(Repeat.NEVER),
   priority: z.enum(['high', 'normal', 'low']).default('normal'),
-  customers: names,
-  dataCentres: names,
-  servers: names,
-  /** Members of later versions, kept for them. */
+  customers: nameList,
+  dataCentres: nameList,
+  servers: nameList,
+  /** Members of later versions, kept so that converting to them loses nothing. */
   extensions: z.record(z.string(), z.unknown()).optional(),
 });
 
-const modelTarget = z.looseObject({
+const modelTargetSchema = z.looseObject({
   kind: z.literal(TargetKind.MODEL),
   model: z.string().min(1),
   version: z.string().min(1),
-  adapters: names,
+  adapters: nameList,
 });
 
-const serviceTarget = z.looseObject({
+const serviceTargetSchema = z.looseObject({
   kind: z.literal(TargetKind.SERVICE),
   service: nameSchema,
   repeat: z.enum(Object.values(Repeat)).default(Repeat.NEVER),
   answersLookups: z.boolean().default(false),
 });
 
-/** Version 2: nested target, numeric urgency, latency target and weights. */
+/** Version 2: adds a nested target, numeric urgency, latency target, weights and replicas. */
 export const deploymentSchemaV2 = z.looseObject({
   schemaVersion: z.literal(2),
   kind: z.literal('deployment'),
   name: nameSchema,
-  target: z.discriminatedUnion('kind', [modelTarget, serviceTarget]),
-  customers: names,
-  dataCentres: names,
-  servers: names,
+  target: z.discriminatedUnion('kind', [
+    modelTargetSchema,
+    serviceTargetSchema,
+  ]),
+  customers: nameList,
+  dataCentres: nameList,
+  servers: nameList,
   urgency: z.number().int().min(0).max(LEAST_URGENT).default(DEFAULT_URGENCY),
   latencyTarget: z
     .object({
@@ -76,7 +79,7 @@
 /** Shape of a valid version 2 document. */
 export type DeploymentV2 = z.output<typeof deploymentSchemaV2>;
 
-/** Reads the members the system uses out of a version 2 document. */
+/** Returns the members of a version 2 document that the system uses. */
 export function toDeployment(document: DeploymentV2): Deployment {
   return {
     name: document.name,
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,4 +1,4 @@
-/** Configuration: records, their versions, and what is in force. */
+/** Configuration records: schema versions, storage, and the revision in force. */
 export * from './deployment.js';
 export type {Customer} from './customer.js';
 export * from './server.js';
--- a/src/configuration/parse_record.ts
+++ b/src/configuration/parse_record.ts
@@ -1,56 +1,58 @@
 import {Result} from 'true-myth';
 import {z} from 'zod';
 import {
-  lowerCustomer,
-  lowerDeployment,
-  raiseCustomer,
-  raiseDeployment,
+  downgradeCustomer,
+  downgradeDeployment,
+  upgradeCustomer,
+  upgradeDeployment,
 } from './convert_record.js';
 import {customerSchemaV1, customerSchemaV2} from './customer_schema.js';
 import {deploymentSchemaV1, deploymentSchemaV2} from './deployment_schema.js';
 import {serverSchema} from './server_schema.js';
 import {RecordDocument, RecordKind} from './stored_record.js';
 
-/** Schema versions that this release reads and writes. */
+/** Schema versions that this release can read and write. */
 export const SCHEMA_VERSIONS = [1, 2] as const;
 
-/** Schema version that this release works with inside. */
+/** Schema version that this release uses internally. */
 export const CURRENT_SCHEMA_VERSION = 2;
 
-const headSchema = z.looseObject({
+const documentHeadSchema = z.looseObject({
   schemaVersion: z.number().int(),
   kind: z.enum(Object.values(RecordKind)),
 });
 
 /**
- * Checks a record of any known version and raises it to the current one.
- * @param document - What an operator or the table gave.
- * @returns The current document with defaults filled in, or every mistake.
+ * Validates a record of any supported schema version and converts it to the
+ * current version.
+ * @param document - The record, as received from an operator or the table.
+ * @returns The document in the current version with defaults filled in, or one
+ *   line per validation error.
  */
 export function parseRecord(
   document: unknown,
 ): Result<RecordDocument, string[]> {
-  const head = headSchema.safeParse(document);
+  const head = documentHeadSchema.safeParse(document);
   if (!head.success) {
-    return Result.err(listMistakes(head.error));
+    return Result.err(formatIssues(head.error));
   }
   const {schemaVersion, kind} = head.data;
   if (!SCHEMA_VERSIONS.some(known => known === schemaVersion)) {
     return Result.err([
-      `schemaVersion: ${schemaVersion} is not known here; use ${SCHEMA_VERSIONS.join(' or ')}`,
+      `schemaVersion: ${schemaVersion} is not supported; use ${SCHEMA_VERSIONS.join(' or ')}`,
     ]);
   }
   return kind === RecordKind.DEPLOYMENT
     ? parseDeployment(document, schemaVersion)
     : kind === RecordKind.CUSTOMER
       ? parseCustomer(document, schemaVersion)
-      : parseWith(serverSchema, document);
+      : parseCurrent(serverSchema, document);
 }
 
 /**
- * Shows a record in a wanted schema version.
- * @param document - A valid document of any known version.
- * @param schemaVersion - 1 or 2.
+ * Converts a record to a schema version.
+ * @param document - A valid document of any supported version.
+ * @param schemaVersion - Target version, one of `SCHEMA_VERSIONS`.
  */
 export function convertRecord(
   document: RecordDocument,
@@ -62,11 +64,11 @@
   }
   if (document.kind === RecordKind.DEPLOYMENT) {
     const parsed = deploymentSchemaV2.parse(current.value);
-    return Result.ok(lowerDeployment(parsed) as RecordDocument);
+    return Result.ok(downgradeDeployment(parsed) as RecordDocument);
   }
   if (document.kind === RecordKind.CUSTOMER) {
     const parsed = customerSchemaV2.parse(current.value);
-    return Result.ok(lowerCustomer(parsed) as RecordDocument);
+    return Result.ok(downgradeCustomer(parsed) as RecordDocument);
   }
   return Result.ok({...current.value, schemaVersion});
 }
@@ -76,16 +78,19 @@
   version: number,
 ): Result<RecordDocument, string[]> {
   if (version === CURRENT_SCHEMA_VERSION) {
-    return parseWith(deploymentSchemaV2, document);
+    return parseCurrent(deploymentSchemaV2, document);
   }
-  const old = deploymentSchemaV1.safeParse(document);
-  if (!old.success) {
-    return Result.err(listMistakes(old.error));
+  const previous = deploymentSchemaV1.safeParse(document);
+  if (!previous.success) {
+    return Result.err(formatIssues(previous.error));
   }
-  if ((old.data.model === undefined) === (old.data.service === undefined)) {
+  if (
+    (previous.data.model === undefined) ===
+    (previous.data.service === undefined)
+  ) {
     return Result.err(['model, service: give exactly one of them']);
   }
-  return parseWith(deploymentSchemaV2, raiseDeployment(old.data));
+  return parseCurrent(deploymentSchemaV2, upgradeDeployment(previous.data));
 }
 
 function parseCustomer(
@@ -93,25 +98,25 @@
   version: number,
 ): Result<RecordDocument, string[]> {
   if (version === CURRENT_SCHEMA_VERSION) {
-    return parseWith(customerSchemaV2, document);
+    return parseCurrent(customerSchemaV2, document);
   }
-  const old = customerSchemaV1.safeParse(document);
-  return old.success
-    ? parseWith(customerSchemaV2, raiseCustomer(old.data))
-    : Result.err(listMistakes(old.error));
+  const previous = customerSchemaV1.safeParse(document);
+  return previous.success
+    ? parseCurrent(customerSchemaV2, upgradeCustomer(previous.data))
+    : Result.err(formatIssues(previous.error));
 }
 
-function parseWith(
+function parseCurrent(
   schema: z.ZodType,
   document: unknown,
 ): Result<RecordDocument, string[]> {
   const parsed = schema.safeParse(document);
   return parsed.success
     ? Result.ok(parsed.data as RecordDocument)
-    : Result.err(listMistakes(parsed.error));
+    : Result.err(formatIssues(parsed.error));
 }
 
-function listMistakes(error: z.ZodError): string[] {
+function formatIssues(error: z.ZodError): string[] {
   return error.issues.map(issue => {
     const path = issue.path.map(String).join('.') || 'record';
     return `${path}: ${issue.message}`;
--- a/src/configuration/server_schema.ts
+++ b/src/configuration/server_schema.ts
@@ -2,7 +2,7 @@
 import {nameSchema} from './name_schema.js';
 import {ServerKind} from './server.js';
 
-/** Server records have the same shape in versions 1 and 2. */
+/** Schema of server records, the same in versions 1 and 2. */
 export const serverSchema = z
   .looseObject({
     schemaVersion: z.union([z.literal(1), z.literal(2)]),
@@ -21,7 +21,7 @@
   })
   .refine(
     server => server.runs !== ServerKind.SERVICE || server.service !== '',
-    {path: ['service'], message: 'is needed where runs is "service"'},
+    {path: ['service'], message: 'is required when runs is "service"'},
   );
 
 /** Shape of a valid document. */
--- a/src/configuration/stored_record.ts
+++ b/src/configuration/stored_record.ts
@@ -6,7 +6,7 @@
 } as const;
 export type RecordKind = (typeof RecordKind)[keyof typeof RecordKind];
 
-/** Members that every version of every record has. */
+/** A record document; each kind and schema version has at least these members. */
 export interface RecordDocument {
   readonly schemaVersion: number;
   readonly kind: RecordKind;
@@ -14,27 +14,27 @@
   readonly [member: string]: unknown;
 }
 
-/** A record as the table keeps it, with the revision that last changed it. */
+/** A record as stored in the table, with the revision that last changed it. */
 export interface StoredRecord {
   readonly kind: RecordKind;
   readonly name: string;
   readonly revision: number;
-  /** As written, in the schema version it was written in; null once deleted. */
+  /** The document in the schema version that it was written in; null once deleted. */
   readonly document: RecordDocument | null;
-  /** Identifies the change, so that its author can find it after a lost answer. */
+  /** Id of the change, by which its author can find it if the response was lost. */
   readonly changeId: string;
 }
 
-/** Every record that changed after one revision, up to another. */
+/** The records that changed after one revision, up to another. */
 export interface ConfigurationDelta {
-  /** Records changed after this revision are included. */
+  /** The delta holds all records that changed after this revision. */
   readonly after: number;
-  /** Revision reached by applying the delta. */
+  /** Revision that the delta leads to. */
   readonly revision: number;
   readonly records: readonly StoredRecord[];
 }
 
-/** Key of a record among all records. */
+/** Returns the key of a record, unique among all kinds. */
 export function getRecordKey(kind: RecordKind, name: string): string {
   return `${kind}/${name}`;
 }
--- a/test/configuration/parse_record_test.ts
+++ b/test/configuration/parse_record_test.ts
@@ -16,13 +16,13 @@
 
 describe('records', () => {
   describe('parseRecord', () => {
-    function expectMistake(document: unknown, pattern: RegExp) {
+    function expectError(document: unknown, pattern: RegExp) {
       const parsed = parseRecord(document);
       expect(parsed.isErr).to.equal(true);
       expect(parsed.isErr && parsed.error.join()).to.match(pattern);
     }
 
-    it('raises version 1 to the current version', () => {
+    it('converts version 1 to the current version', () => {
       const parsed = parseRecord(V1);
       expect(parsed.unwrapOr(undefined)).to.deep.include({
         schemaVersion: 2,
@@ -36,14 +36,11 @@
       });
     });
 
-    it('names the versions it knows when it meets another', () => {
-      expectMistake(
-        {...V1, schemaVersion: 9},
-        /9 is not known here; use 1 or 2/,
-      );
+    it('lists the supported versions in the error for an unsupported one', () => {
+      expectError({...V1, schemaVersion: 9}, /9 is not supported; use 1 or 2/);
     });
 
-    it('reports every mistake at once', () => {
+    it('reports all validation errors at once', () => {
       const record = {
         schemaVersion: 2,
         kind: 'deployment',
@@ -56,11 +53,11 @@
       expect(parsed.isErr && parsed.error.length).to.equal(3);
     });
 
-    it('refuses a version 1 deployment of both a model and a service', () => {
-      expectMistake({...V1, service: 'bids'}, /exactly one/);
+    it('refuses a version 1 deployment with both a model and a service', () => {
+      expectError({...V1, service: 'bids'}, /exactly one/);
     });
 
-    it('refuses a service server without its service', () => {
+    it('refuses a server that runs a service but does not name it', () => {
       const server = {
         schemaVersion: 2,
         kind: 'server',
@@ -69,7 +66,7 @@
         dataCentre: 'd',
         address: '127.0.0.1:1',
       };
-      expectMistake(server, /service: is needed/);
+      expectError(server, /service: is required/);
     });
   });
 
@@ -94,34 +91,38 @@
       ),
     });
 
-    it('loses nothing from version 2 to 1 and back, unknown members included', () => {
+    it('converts from version 2 to 1 and back without loss, including unknown members', () => {
       fc.assert(
         fc.property(deployments, members => {
-          const start = parseRecord({
+          const original = parseRecord({
             schemaVersion: 2,
             kind: 'deployment',
             name: 'd',
             ...members,
           }).unwrapOr(undefined) as RecordDocument;
-          const lowered = convertRecord(start, 1).unwrapOr(start);
-          expect(lowered.schemaVersion).to.equal(1);
-          const raised = parseRecord(lowered).unwrapOr(undefined);
-          expect(raised).to.deep.equal(start);
+          const downgraded = convertRecord(original, 1).unwrapOr(original);
+          expect(downgraded.schemaVersion).to.equal(1);
+          const upgraded = parseRecord(downgraded).unwrapOr(undefined);
+          expect(upgraded).to.deep.equal(original);
         }),
         {seed: 11, numRuns: 200},
       );
     });
 
-    it('lets a change made in version 1 win over what it kept', () => {
-      const start = parseRecord(V1).unwrapOr(undefined) as RecordDocument;
-      const lowered = convertRecord(start, 1).unwrapOr(start);
-      const changed = {...lowered, priority: 'low', model: 'provenance-8b@4'};
+    it('prefers a change made in version 1 to the members in extensions', () => {
+      const original = parseRecord(V1).unwrapOr(undefined) as RecordDocument;
+      const downgraded = convertRecord(original, 1).unwrapOr(original);
+      const changed = {
+        ...downgraded,
+        priority: 'low',
+        model: 'provenance-8b@4',
+      };
       expect(parseRecord(changed).unwrapOr(undefined)).to.deep.include({
         urgency: 6,
       });
     });
 
-    it('keeps a fractional weight of a customer through version 1', () => {
+    it('restores the fractional weight of a customer after conversion to version 1', () => {
       const customer = {
         schemaVersion: 2,
         kind: 'customer',
@@ -129,9 +130,9 @@
         keyHashes: ['0'.repeat(64)],
         weight: 2.5,
       } as RecordDocument;
-      const lowered = convertRecord(customer, 1).unwrapOr(customer);
-      expect(lowered['share']).to.equal(3);
-      expect(parseRecord(lowered).unwrapOr(undefined)).to.deep.include({
+      const downgraded = convertRecord(customer, 1).unwrapOr(customer);
+      expect(downgraded['share']).to.equal(3);
+      expect(parseRecord(downgraded).unwrapOr(undefined)).to.deep.include({
         weight: 2.5,
       });
     });
