--- a/src/settings/format_example.ts
+++ b/src/settings/format_example.ts
@@ -1,6 +1,9 @@
 import {SettingDescription, SETTING_DESCRIPTIONS} from './settings_schema.js';
 
-/** Values of the required settings in the example file. */
+/**
+ * Values in the example file for the required settings, and for
+ * `peers.advertised`, whose default is another setting.
+ */
 const EXAMPLE_VALUES: Readonly<Record<string, string>> = {
   'host.name': '"tac-entry-1"',
   'host.data_centre': '"tac-hall"',
@@ -15,7 +18,7 @@
   'platform.hosts_url': '"http://127.0.0.1:7400/platform"',
 };
 
-/** Writes the example settings file from the descriptions. */
+/** Returns the text of the example settings file, generated from the descriptions. */
 export function formatExampleSettings(): string {
   const lines = [
     '# Settings of sedgefalld: every setting, with its unit and default.',
@@ -33,7 +36,7 @@
   return lines.join('\n') + '\n';
 }
 
-/** Writes the table of docs/SETTINGS.md from the descriptions. */
+/** Returns the table of docs/SETTINGS.md, generated from the descriptions. */
 export function formatSettingsTable(): string {
   const lines = [
     '| setting | what it is | unit | default | allowed |',
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,4 +1,4 @@
-/** Settings of a process: their schema, check and example. */
+/** Settings of the daemon: their schema, validation and example file. */
 export {formatExampleSettings, formatSettingsTable} from './format_example.js';
 export {parseSettings} from './parse_settings.js';
 export {SETTING_DESCRIPTIONS} from './settings_schema.js';
--- a/src/settings/parse_settings.ts
+++ b/src/settings/parse_settings.ts
@@ -8,25 +8,27 @@
 } from './settings_schema.js';
 
 /**
- * Checks the text of a settings file as a whole.
- * @param text - TOML text.
- * @returns The settings with defaults filled in, or every mistake: one line
- *   each, with the line number, the key, what is allowed and what to do.
+ * Parses and validates a settings file.
+ * @param text - Content of the file, in TOML.
+ * @returns The settings with defaults filled in, or all errors: one line each,
+ *   with the line number, the key, the allowed values and what to do.
  */
 export function parseSettings(text: string): Result<Settings, string[]> {
   let document: unknown;
   try {
     document = parse(text);
   } catch (error) {
-    return Result.err([describeSyntax(error)]);
+    return Result.err([describeSyntaxError(error)]);
   }
   const parsed = settingsSchema.safeParse(document);
   return parsed.success
     ? Result.ok(parsed.data)
-    : Result.err(parsed.error.issues.flatMap(issue => describe(text, issue)));
+    : Result.err(
+        parsed.error.issues.flatMap(issue => describeIssue(text, issue)),
+      );
 }
 
-function describeSyntax(error: unknown): string {
+function describeSyntaxError(error: unknown): string {
   if (error instanceof TomlError) {
     const first = error.message.split('\n')[0] ?? '';
     return `line ${error.line}: ${first}; correct the TOML there`;
@@ -34,23 +36,26 @@
   return String(error);
 }
 
-function describe(text: string, issue: z.core.$ZodIssue): string[] {
+function describeIssue(text: string, issue: z.core.$ZodIssue): string[] {
   const path = issue.path.map(String);
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map(key => {
       const full = [...path, key].join('.');
-      return `${locate(text, [...path, key])}${full}: no such setting; remove it or see docs/SETTINGS.md`;
+      return `${formatLocation(text, [...path, key])}${full}: no such setting; remove it or see docs/SETTINGS.md`;
     });
   }
   const key = path.filter(part => !/^\d+$/.test(part)).join('.');
   const known = SETTING_DESCRIPTIONS.find(setting => setting.key === key);
   const allowed =
     known === undefined ? 'add this table' : `give ${known.allowed}`;
-  return [`${locate(text, path)}${key}: ${issue.message}; ${allowed}`];
+  return [`${formatLocation(text, path)}${key}: ${issue.message}; ${allowed}`];
 }
 
-/** Finds the line of a key by reading the text as a person would. */
-function locate(text: string, path: readonly string[]): string {
+/**
+ * Returns the line of a key as the prefix "line N: ", or "" if it is not found.
+ * Scans the text line by line for table headers and keys, without parsing TOML.
+ */
+function formatLocation(text: string, path: readonly string[]): string {
   const [table = '', key = ''] = path;
   let current = '';
   for (const [index, line] of text.split('\n').entries()) {
--- a/test/settings/parse_settings_test.ts
+++ b/test/settings/parse_settings_test.ts
@@ -8,19 +8,19 @@
 const VALID = formatExampleSettings();
 
 describe('parseSettings', () => {
-  function doTest(change: (text: string) => string): string[] {
+  function parseChanged(change: (text: string) => string): string[] {
     const parsed = parseSettings(change(VALID));
     return parsed.isErr ? parsed.error : [];
   }
 
-  it('takes the example file, which shows every setting', () => {
-    expect(doTest(text => text)).to.deep.equal([]);
+  it('accepts the example file, which contains every setting', () => {
+    expect(parseChanged(text => text)).to.deep.equal([]);
     for (const {key} of SETTING_DESCRIPTIONS) {
       expect(VALID).to.include(`\n${key.split('.')[1]} = `);
     }
   });
 
-  it('fills in the default of every setting that has one', () => {
+  it('fills in the defaults of settings that are left out', () => {
     const required = SETTING_DESCRIPTIONS.filter(s => s.default === undefined);
     const tables = new Map<string, string[]>();
     for (const {key} of required) {
@@ -47,30 +47,30 @@
     }
   });
 
-  it('reports three mistakes at once, each with line, key and remedy', () => {
-    const mistakes = doTest(text =>
+  it('reports three errors at once, each with line, key and remedy', () => {
+    const errors = parseChanged(text =>
       text
         .replace('heartbeat_ms = 1000', 'heartbeat_ms = "soon"')
         .replace('[journal]', '[journal]\nretention_hours = 3')
         .replace('key = "replace-this-shared-key"', 'key = "short"'),
     );
-    expect(mistakes).to.have.length(3);
-    const all = mistakes.join('\n');
+    expect(errors).to.have.length(3);
+    const all = errors.join('\n');
     expect(all).to.match(/^line \d+: journal.retention_hours: no such/m);
     expect(all).to.match(/^line \d+: peers.heartbeat_ms: .*whole number/m);
     expect(all).to.match(/^line \d+: peers.key: .*at least 16 characters/m);
   });
 
-  it('reports a missing table and what to do', () => {
-    const mistakes = doTest(text =>
+  it('reports a missing table and how to correct it', () => {
+    const errors = parseChanged(text =>
       text.replace(/\[peers\][\s\S]*\[platform\]/, '[platform]'),
     );
-    expect(mistakes.join()).to.include('peers');
-    expect(mistakes.join()).to.include('add this table');
+    expect(errors.join()).to.include('peers');
+    expect(errors.join()).to.include('add this table');
   });
 
-  it('reports the line of a syntax mistake', () => {
-    const mistakes = doTest(() => '[host]\nname = tac');
-    expect(mistakes.join()).to.match(/^line 2: .*correct the TOML/);
+  it('reports the line of a syntax error', () => {
+    const errors = parseChanged(() => '[host]\nname = tac');
+    expect(errors.join()).to.match(/^line 2: .*correct the TOML/);
   });
 });
--- a/test/settings/settings_pages_test.ts
+++ b/test/settings/settings_pages_test.ts
@@ -5,15 +5,17 @@
   formatSettingsTable,
 } from '../../src/settings/index.js';
 
-describe('pages made from the settings schema', () => {
+describe('pages generated from the settings schema', () => {
   it('the example file is up to date', async () => {
     const text = await readFile('examples/sedgefalld.toml', 'utf8');
     expect(text).to.equal(formatExampleSettings());
   });
 
-  it('the table in docs/SETTINGS.md has every setting and default', async () => {
+  it('the table in docs/SETTINGS.md is up to date', async () => {
     const text = await readFile('docs/SETTINGS.md', 'utf8');
-    const squeeze = (page: string) => page.replaceAll(/[ -]{2,}/g, ' ');
-    expect(squeeze(text)).to.include(squeeze(formatSettingsTable()));
+    const collapsePadding = (page: string) => page.replaceAll(/[ -]{2,}/g, ' ');
+    expect(collapsePadding(text)).to.include(
+      collapsePadding(formatSettingsTable()),
+    );
   });
 });
