--- a/src/backend/event_stream.ts
+++ b/src/backend/event_stream.ts
@@ -1,6 +1,6 @@
 /**
- * Splits a byte stream of server-sent events into the data of each event.
- * @param bytes - Chunks as they arrive; an event may span several.
+ * Decodes a byte stream of server-sent events and yields the data of each event.
+ * @param bytes - Received chunks; an event may span several chunks.
  */
 export async function* readEventStream(
   bytes: AsyncIterable<Uint8Array>,
--- a/src/backend/http_model_engine.ts
+++ b/src/backend/http_model_engine.ts
@@ -17,9 +17,9 @@
 
 const CONTROL_TIMEOUT_MS = 2000;
 const CONNECT_TIMEOUT_MS = 1000;
-const STREAM_END = '[DONE]';
+const STREAM_END_MARKER = '[DONE]';
 
-/** Chunk of a streamed completion, with the engine's own extra members. */
+/** Chunk of a streamed completion; `request_id` and `position` are extensions of the engine. */
 interface CompletionChunk {
   readonly request_id?: string;
   readonly position?: number;
@@ -32,15 +32,16 @@
   ];
 }
 
-/** A model engine that speaks the completions protocol over HTTP. */
+/** Client of a model engine that implements the completions protocol over HTTP. */
 export class HttpModelEngine implements ModelEngine {
   /**
    * @param url - Base URL of the server.
-   * @param silenceMs - Longest silence on a token stream, in milliseconds.
+   * @param idleTimeoutMs - Longest time without data on a token stream, in
+   *   milliseconds.
    */
   constructor(
     private readonly url: string,
-    private readonly silenceMs: number,
+    private readonly idleTimeoutMs: number,
   ) {}
 
   async *generate(
@@ -58,7 +59,7 @@
       retry: {limit: 0},
       timeout: {
         connect: CONNECT_TIMEOUT_MS,
-        socket: this.silenceMs,
+        socket: this.idleTimeoutMs,
       },
     });
     const abort = () => stream.destroy();
@@ -80,15 +81,15 @@
 
   async getLoad(): Promise<Result<LoadReport, ServerFailure>> {
     const url = `${this.url}/load`;
-    const answer = await this.control<unknown>({method: 'GET', url});
+    const answer = await this.sendControlRequest<unknown>({method: 'GET', url});
     return answer.andThen(body => {
       const parsed = loadReportSchema.safeParse(body);
       if (parsed.success) {
         return Result.ok<LoadReport, ServerFailure>(parsed.data);
       }
-      // One engine's nonsense must not travel on to every peer.
+      // Load reports are forwarded to all peers, so an invalid one is rejected.
       const [issue] = parsed.error.issues;
-      const detail = `load report: ${issue?.path.join('.')}: ${issue?.message}`;
+      const detail = `invalid load report: ${issue?.path.join('.')}: ${issue?.message}`;
       return Result.err<LoadReport, ServerFailure>(
         new ServerFailure(Reach.SENT, detail),
       );
@@ -99,11 +100,11 @@
     after: number,
   ): Promise<Result<readonly CacheEvent[], ServerFailure>> {
     const url = `${this.url}/cache-events?after=${after}`;
-    return this.control({method: 'GET', url});
+    return this.sendControlRequest({method: 'GET', url});
   }
 
   exportCache(requestId: string): Promise<Result<CacheExport, ServerFailure>> {
-    return this.control({
+    return this.sendControlRequest({
       method: 'POST',
       url: `${this.url}/kv/export`,
       json: {request_id: requestId},
@@ -111,7 +112,7 @@
   }
 
   importCache(cache: CacheExport): Promise<Result<void, ServerFailure>> {
-    return this.control({
+    return this.sendControlRequest({
       method: 'POST',
       url: `${this.url}/kv/import`,
       json: cache,
@@ -119,7 +120,7 @@
   }
 
   give(order: EngineOrder): Promise<Result<void, ServerFailure>> {
-    return this.control({
+    return this.sendControlRequest({
       method: 'POST',
       url: `${this.url}/orders`,
       json: order,
@@ -132,7 +133,7 @@
       : `${this.url}/v1/completions`;
   }
 
-  private async control<T>(
+  private async sendControlRequest<T>(
     request: Omit<HttpRequest, 'timeoutMs'>,
   ): Promise<Result<T, ServerFailure>> {
     const answer = await sendJson({...request, timeoutMs: CONTROL_TIMEOUT_MS});
@@ -141,7 +142,7 @@
       return Result.err(new ServerFailure(reach, answer.error.detail));
     }
     if (answer.value.status >= 300) {
-      const detail = `status ${answer.value.status} from ${request.url}`;
+      const detail = `unexpected status ${answer.value.status} from ${request.url}`;
       return Result.err(new ServerFailure(Reach.SENT, detail));
     }
     return Result.ok(answer.value.body as T);
@@ -154,14 +155,17 @@
 ): AsyncGenerator<Token> {
   let position = firstPosition;
   for await (const data of readEventStream(stream)) {
-    if (data === STREAM_END) {
+    if (data === STREAM_END_MARKER) {
       return;
     }
     const token = readToken(data, position);
     position = token.position + 1;
     yield token;
   }
-  throw new ServerFailure(Reach.SENT, 'the stream ended before its end mark');
+  throw new ServerFailure(
+    Reach.SENT,
+    'token stream ended before the [DONE] marker',
+  );
 }
 
 function readToken(data: string, position: number): Token {
@@ -169,11 +173,17 @@
   try {
     chunk = JSON.parse(data) as CompletionChunk;
   } catch {
-    throw new ServerFailure(Reach.SENT, 'a chunk of the stream is not JSON');
+    throw new ServerFailure(
+      Reach.SENT,
+      'chunk of the token stream is not valid JSON',
+    );
   }
   const choice = chunk.choices?.[0];
   if (choice === undefined) {
-    throw new ServerFailure(Reach.SENT, 'a chunk of the stream has no choice');
+    throw new ServerFailure(
+      Reach.SENT,
+      'chunk of the token stream has no choices',
+    );
   }
   const finishReason = choice.finish_reason ?? undefined;
   return {
--- a/src/backend/http_plain_service.ts
+++ b/src/backend/http_plain_service.ts
@@ -9,10 +9,11 @@
 const OUTCOME_TIMEOUT_MS = 2000;
 const REQUEST_ID_HEADER = 'x-request-id';
 
-/** A plain service reached over HTTP. */
+/** Client of a plain service over HTTP. */
 export class HttpPlainService implements PlainService {
-  // A reused connection may have been closed by the other side, and then
-  // nobody can tell whether the call was read: each call gets a fresh one.
+  // The server may close a kept-alive connection while a call is being sent on
+  // it; then it is unknown whether the call was received. So each call uses a
+  // new connection.
   private readonly agent = new Agent({keepAlive: false});
 
   /** @param url - Base URL of the service. */
@@ -42,7 +43,7 @@
         return Result.err(
           new ServerFailure(
             Reach.SENT,
-            'the answer belongs to another request',
+            'response carries the id of another request',
           ),
         );
       }
@@ -77,7 +78,10 @@
         : found.status === 200
           ? Result.ok<ServiceAnswer | undefined, ServerFailure>(found)
           : Result.err<ServiceAnswer | undefined, ServerFailure>(
-              new ServerFailure(Reach.SENT, `status ${found.status}`),
+              new ServerFailure(
+                Reach.SENT,
+                `unexpected status ${found.status} for an outcome lookup`,
+              ),
             ),
     );
   }
--- a/src/backend/index.ts
+++ b/src/backend/index.ts
@@ -1,4 +1,4 @@
-/** Backend servers: model engines and plain services. */
+/** Clients of backend servers: model engines and plain services. */
 export * from './model_engine.js';
 export * from './plain_service.js';
 export * from './server_failure.js';
--- a/src/backend/load_report_schema.ts
+++ b/src/backend/load_report_schema.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** A load report as an engine must give it; others are not believed. */
+/** Schema of the load report of an engine; reports that do not match are rejected. */
 export const loadReportSchema = z.object({
   running: z.number().min(0),
   waiting: z.number().min(0),
--- a/src/backend/model_engine.ts
+++ b/src/backend/model_engine.ts
@@ -1,7 +1,7 @@
 import {Result} from 'true-myth';
 import {ServerFailure} from './server_failure.js';
 
-/** Wire formats in which a generation can be asked for. */
+/** Wire formats in which a generation can be requested. */
 export const GenerationFormat = {
   CHAT: 'chat',
   TEXT: 'text',
@@ -9,26 +9,26 @@
 export type GenerationFormat =
   (typeof GenerationFormat)[keyof typeof GenerationFormat];
 
-/** What to generate, as one attempt on one server. */
+/** One attempt at a generation, on one server. */
 export interface GenerationOrder {
   readonly requestId: string;
   readonly format: GenerationFormat;
-  /** The caller's request body, with the model's own name. */
+  /** The caller's request body, with the name of the model as the engine knows it. */
   readonly body: Readonly<Record<string, unknown>>;
-  /** Texts of tokens the caller already has; generation goes on after them. */
+  /** Texts of the tokens generated so far; the generation continues after them. */
   readonly continuation: readonly string[];
-  /** Smaller is more urgent, 0 to 7. */
+  /** From 0, the most urgent, to 7. */
   readonly urgency: number;
 }
 
 /** One generated token. */
 export interface Token {
-  /** Request the engine says it belongs to. */
+  /** Id of the request, as reported by the engine. */
   readonly requestId: string;
-  /** Place in the whole answer, from 0. */
+  /** Index in the whole answer, from 0. */
   readonly position: number;
   readonly text: string;
-  /** Set on the last token only, such as "stop" or "length". */
+  /** Set on the last token only, for example "stop" or "length". */
   readonly finishReason?: string;
 }
 
@@ -39,39 +39,39 @@
   readonly adapters: readonly string[];
 }
 
-/** Load of an engine, as it published it. */
+/** Load of an engine, as reported by the engine. */
 export interface LoadReport {
   /** Generations being decoded. */
   readonly running: number;
-  /** Generations waiting for a place. */
+  /** Generations in the queue. */
   readonly waiting: number;
-  /** Generations it can decode at once. */
+  /** Generations that it can decode at the same time. */
   readonly capacity: number;
-  /** Prompt tokens per second of prefill. */
+  /** Prefill speed, in prompt tokens per second. */
   readonly prefillRate: number;
-  /** Milliseconds between tokens when running at capacity. */
+  /** Milliseconds between the tokens of a generation when running at capacity. */
   readonly decodeMs: number;
   readonly models: readonly LoadedModel[];
 }
 
-/** A change in an engine's prefix cache; these come late and with gaps. */
+/** A change in the prefix cache of an engine. Events arrive delayed, and some are lost. */
 export interface CacheEvent {
-  /** Rises by one per event of this server; a jump shows a gap. */
+  /** Increases by one per event of a server; a larger step means that events were lost. */
   readonly sequence: number;
   readonly kind: 'stored' | 'evicted';
-  /** Chained hash of the prefix block; see `hashPrefixBlocks`. */
+  /** Chained hash of the prefix block, as computed by `hashPrefixBlocks`. */
   readonly block: number;
 }
 
-/** A KV cache that an engine has exported. */
+/** A KV cache exported by an engine. */
 export interface CacheExport {
-  /** Where another engine can import it from. */
+  /** Handle by which another engine can import it. */
   readonly handle: string;
-  /** Tokens it covers. */
+  /** Number of tokens that it covers. */
   readonly tokens: number;
 }
 
-/** Kinds of order to an engine. */
+/** Kinds of control command to an engine. */
 export const EngineOrderKind = {
   LOAD_MODEL: 'load-model',
   UNLOAD_MODEL: 'unload-model',
@@ -81,10 +81,10 @@
 export type EngineOrderKind =
   (typeof EngineOrderKind)[keyof typeof EngineOrderKind];
 
-/** An order to change what an engine serves. */
+/** A command that changes what an engine serves. */
 export interface EngineOrder {
   readonly kind: EngineOrderKind;
-  /** Fencing number of the lease under which it is given. */
+  /** Fencing token of the lease under which the command is sent. */
   readonly fence: number;
   readonly model: string;
   readonly version: string;
@@ -92,22 +92,25 @@
   readonly role?: string;
 }
 
-/** A model engine on a backend server. */
+/** Interface of a model engine on a backend server. */
 export interface ModelEngine {
   /**
    * Streams the tokens of a generation.
-   * @throws ServerFailure - When the stream cannot begin or breaks off.
+   * @throws ServerFailure - When the stream cannot be opened or breaks off.
    */
   generate(order: GenerationOrder, signal: AbortSignal): AsyncIterable<Token>;
   getLoad(): Promise<Result<LoadReport, ServerFailure>>;
-  /** Reads the cache events after a sequence number. */
+  /** Returns the cache events after a sequence number. */
   listCacheEvents(
     after: number,
   ): Promise<Result<readonly CacheEvent[], ServerFailure>>;
   /** Stops a running generation and exports its KV cache. */
   exportCache(requestId: string): Promise<Result<CacheExport, ServerFailure>>;
-  /** Imports a KV cache, so that a continuation recomputes nothing it covers. */
+  /** Imports a KV cache, so that a continuation does not recompute the tokens it covers. */
   importCache(cache: CacheExport): Promise<Result<void, ServerFailure>>;
-  /** Gives an order; it is refused when a higher fence was seen and checked. */
+  /**
+   * Sends a command. An engine that checks fences refuses it if it has seen a
+   * higher one.
+   */
   give(order: EngineOrder): Promise<Result<void, ServerFailure>>;
 }
--- a/src/backend/prefix_blocks.ts
+++ b/src/backend/prefix_blocks.ts
@@ -1,20 +1,20 @@
 import {hashText} from '../random/index.js';
 
-/** Characters of a prompt that make one cache block. */
+/** Characters of a prompt per cache block. */
 export const BLOCK_CHARACTERS = 64;
 
-/** Characters that make one token, as an estimate before the engine counts. */
+/** Estimated characters per token, used until the engine has counted the tokens. */
 export const CHARACTERS_PER_TOKEN = 4;
 
-/** Tokens in one cache block. */
+/** Estimated tokens per cache block. */
 export const BLOCK_TOKENS = BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
 
 /**
- * Hashes a prompt block by block; each hash covers all text before it, so two
- * prompts share a hash exactly as far as they share a prefix.
- * @param salt - Model, version and adapter: caches are not shared between them.
+ * Hashes the full blocks of a prompt. Each hash also covers all blocks before
+ * it, so two prompts have equal hashes as far as they have a common prefix.
+ * @param salt - Identifies the model and adapter, which do not share caches.
  * @param prompt - Prompt text.
- * @param limit - Most blocks to hash.
+ * @param limit - Largest number of blocks to hash.
  */
 export function hashPrefixBlocks(
   salt: string,
@@ -23,8 +23,8 @@
 ): number[] {
   const blocks: number[] = [];
   let chain = hashText(salt);
-  const whole = Math.floor(prompt.length / BLOCK_CHARACTERS);
-  const count = Math.min(whole, limit);
+  const fullBlocks = Math.floor(prompt.length / BLOCK_CHARACTERS);
+  const count = Math.min(fullBlocks, limit);
   for (let index = 0; index < count; index++) {
     const start = index * BLOCK_CHARACTERS;
     const text = prompt.slice(start, start + BLOCK_CHARACTERS);
@@ -34,7 +34,7 @@
   return blocks;
 }
 
-/** Estimates the tokens of a text. */
+/** Estimates the number of tokens of a text; at least 1. */
 export function estimateTokens(text: string): number {
   return Math.max(1, Math.ceil(text.length / CHARACTERS_PER_TOKEN));
 }
--- a/src/backend/prompt_text.ts
+++ b/src/backend/prompt_text.ts
@@ -1,5 +1,6 @@
 /**
- * Reads the prompt of a generation body as one text, for affinity and estimates.
+ * Returns the prompt of a generation request as one text, for prefix affinity
+ * and token estimates. Chat messages are joined, each as "ROLE: CONTENT".
  * @param body - Body of a chat or text completion.
  */
 export function getPromptText(body: Readonly<Record<string, unknown>>): string {
--- a/test/backend/http_model_engine_test.ts
+++ b/test/backend/http_model_engine_test.ts
@@ -5,7 +5,7 @@
 
 describe('HttpModelEngine', () => {
   describe('getLoad', () => {
-    async function doTest(report: unknown): Promise<string> {
+    async function getLoadError(report: unknown): Promise<string> {
       const app = express();
       app.get('/load', (_request, response) => {
         response.json(report);
@@ -14,7 +14,7 @@
       const url = `http://127.0.0.1:${served.port}`;
       const load = await new HttpModelEngine(url, 1000).getLoad();
       await served.stop();
-      return load.isErr ? load.error.message : 'taken';
+      return load.isErr ? load.error.message : 'accepted';
     }
 
     const report = {
@@ -26,12 +26,14 @@
       models: [],
     };
 
-    it('takes a report that has all its members', async () => {
-      expect(await doTest(report)).to.equal('taken');
+    it('accepts a load report with all members', async () => {
+      expect(await getLoadError(report)).to.equal('accepted');
     });
 
-    it('does not believe a report with a member that is no number', async () => {
-      expect(await doTest({...report, decodeMs: null})).to.include('decodeMs');
+    it('rejects a load report with a member that is not a number', async () => {
+      expect(await getLoadError({...report, decodeMs: null})).to.include(
+        'decodeMs',
+      );
     });
   });
 });
