--- a/src/container/bind.ts
+++ b/src/container/bind.ts
@@ -1,10 +1,10 @@
 import {Container, ResolutionContext, ServiceIdentifier} from 'inversify';
 
 /**
- * Binds one part, made once.
+ * Binds a component as a singleton that is created on first use.
  * @param container - The container.
- * @param key - Class or symbol of the part.
- * @param create - Makes it from the other parts.
+ * @param key - Class or symbol that identifies the component.
+ * @param create - Creates the component; resolves its dependencies in `context`.
  */
 export function bind<T>(
   container: Container,
--- a/src/container/index.ts
+++ b/src/container/index.ts
@@ -1,2 +1,2 @@
-/** Containers: what putting a program together by inversify needs. */
+/** Helper for dependency injection with inversify. */
 export {bind} from './bind.js';
--- a/src/host_list/http_host_list.ts
+++ b/src/host_list/http_host_list.ts
@@ -2,11 +2,11 @@
 import {HostList, ListedHost, ReclaimNotice} from './host_list.js';
 import {sendJson} from '../http/index.js';
 
-/** The platform's host list and notices over HTTP. */
+/** Client of the platform's host list and reclaim notices over HTTP. */
 export class HttpHostList implements HostList {
   /**
    * @param url - Base URL of the platform's host interface.
-   * @param timeoutMs - Limit per call, in milliseconds.
+   * @param timeoutMs - Time limit per call, in milliseconds.
    */
   constructor(
     private readonly url: string,
@@ -33,7 +33,9 @@
       return Result.err(answer.error.detail);
     }
     if (answer.value.status !== 200 || !Array.isArray(answer.value.body)) {
-      return Result.err(`status ${answer.value.status}`);
+      return Result.err(
+        `unexpected response with status ${answer.value.status}`,
+      );
     }
     return Result.ok(answer.value.body as readonly T[]);
   }
--- a/src/host_list/index.ts
+++ b/src/host_list/index.ts
@@ -1,3 +1,3 @@
-/** The list of hosts: its interface, and its client over HTTP. */
+/** The list of hosts: its interface and an HTTP client. */
 export * from './host_list.js';
 export {HttpHostList} from './http_host_list.js';
--- a/src/table/http_table_service.ts
+++ b/src/table/http_table_service.ts
@@ -9,11 +9,11 @@
   TableService,
 } from './table_service.js';
 
-/** The platform's table service over HTTP with JSON bodies. */
+/** Client of the platform's table service over HTTP with JSON bodies. */
 export class HttpTableService implements TableService {
   /**
    * @param url - Base URL of the table service.
-   * @param timeoutMs - Limit per call, in milliseconds.
+   * @param timeoutMs - Time limit per call, in milliseconds.
    */
   constructor(
     private readonly url: string,
@@ -54,7 +54,7 @@
       const body = answer.value.body as {rows: readonly Row[]};
       return Result.err({
         kind: TableFailureKind.CONFLICT,
-        detail: 'a condition did not hold',
+        detail: 'a row does not have the expected version',
         rows: body.rows,
       });
     }
@@ -75,9 +75,9 @@
   }
   if (answer.value.status !== 200) {
     return Result.err({
-      // A gateway may answer 5xx for a write that went through.
+      // A gateway may answer 5xx although the write was committed.
       kind: TableFailureKind.UNANSWERED,
-      detail: `status ${answer.value.status}`,
+      detail: `unexpected status ${answer.value.status}`,
     });
   }
   return Result.ok(answer.value.body as T);
--- a/src/table/memory_table_service.ts
+++ b/src/table/memory_table_service.ts
@@ -10,10 +10,10 @@
   TableService,
 } from './table_service.js';
 
-/** Table kept in memory: the heart of the platform stand-in and of tests. */
+/** In-memory implementation of the table service, for the fake platform, simulations and tests. */
 export class MemoryTableService implements TableService {
   private readonly rows = new Map<string, Row>();
-  private version = ABSENT;
+  private lastVersion = ABSENT;
 
   async get(key: string): Promise<Result<Row | undefined, TableFailure>> {
     return Result.ok(this.rows.get(key));
@@ -33,11 +33,11 @@
   async transact(
     steps: readonly Step[],
   ): Promise<Result<Commit, TableFailure>> {
-    const failed = steps.filter(step => !this.holds(step));
+    const failed = steps.filter(step => !this.isConditionMet(step));
     if (failed.length > 0) {
       return Result.err({
         kind: TableFailureKind.CONFLICT,
-        detail: 'a condition did not hold',
+        detail: 'a row does not have the expected version',
         rows: failed.flatMap(step => this.rows.get(step.key) ?? []),
       });
     }
@@ -48,7 +48,7 @@
     return Result.ok({versions});
   }
 
-  private holds(step: Step): boolean {
+  private isConditionMet(step: Step): boolean {
     if (step.ifVersion === undefined) {
       return true;
     }
@@ -62,11 +62,15 @@
       return;
     }
     if (step.kind === StepKind.PUT) {
-      this.version++;
-      versions[step.key] = this.version;
-      // A copy, as a real table would hand out.
+      this.lastVersion++;
+      versions[step.key] = this.lastVersion;
+      // Stores a copy, since a real table does not share objects with its clients.
       const value = structuredClone(step.value);
-      this.rows.set(step.key, {key: step.key, version: this.version, value});
+      this.rows.set(step.key, {
+        key: step.key,
+        version: this.lastVersion,
+        value,
+      });
     }
   }
 }
--- a/src/table/table_service.ts
+++ b/src/table/table_service.ts
@@ -1,12 +1,12 @@
 import {Result} from 'true-myth';
 
-/** Version that stands for "no such row" in a condition. */
+/** Version in a condition that means that the row must not exist. */
 export const ABSENT = 0;
 
 /** A row of the table. */
 export interface Row {
   readonly key: string;
-  /** Rises with every write to the row; never `ABSENT`. */
+  /** Increases with every write to the row; never `ABSENT`. */
   readonly version: number;
   readonly value: unknown;
 }
@@ -18,23 +18,23 @@
   DELETE: 'delete',
 } as const;
 
-/** One step of a transaction; all steps take effect, or none. */
+/** One step of a transaction; either all steps take effect or none. */
 export interface Step {
   readonly kind: (typeof StepKind)[keyof typeof StepKind];
   readonly key: string;
-  /** Version the row must have; `ABSENT` for none; left out for any. */
+  /** Version that the row must have; `ABSENT` if it must not exist; default: no condition. */
   readonly ifVersion?: number;
-  /** New value, for a put. */
+  /** New value of the row, for a put. */
   readonly value?: unknown;
 }
 
 /** How a call to the table can fail. */
 export const TableFailureKind = {
-  /** A condition did not hold; nothing was written. */
+  /** A condition was not met; nothing was written. */
   CONFLICT: 'conflict',
-  /** The call certainly did not reach the table; nothing was written. */
+  /** The call did not reach the table; nothing was written. */
   UNREACHED: 'unreached',
-  /** No usable answer came; a write may have taken effect. */
+  /** There was no usable response; a write may have taken effect. */
   UNANSWERED: 'unanswered',
 } as const;
 
@@ -42,21 +42,21 @@
 export interface TableFailure {
   readonly kind: (typeof TableFailureKind)[keyof typeof TableFailureKind];
   readonly detail: string;
-  /** On a conflict: the rows whose conditions failed, as they now stand. */
+  /** On a conflict: the current rows whose conditions were not met. */
   readonly rows?: readonly Row[];
 }
 
-/** Versions written by a transaction, by key. */
+/** Result of a transaction: the new versions of the rows put, by key. */
 export interface Commit {
   readonly versions: Readonly<Record<string, number>>;
 }
 
-/** The platform's transactional table service. */
+/** Interface of the platform's transactional table service. */
 export interface TableService {
-  /** Reads one row; `undefined` when absent. */
+  /** Reads one row; `undefined` if it does not exist. */
   get(key: string): Promise<Result<Row | undefined, TableFailure>>;
-  /** Reads every row whose key starts with the prefix, in key order. */
+  /** Reads all rows whose key starts with the prefix, in key order. */
   list(prefix: string): Promise<Result<readonly Row[], TableFailure>>;
-  /** Writes several rows at once, if every condition holds. */
+  /** Executes all steps atomically if all their conditions are met. */
   transact(steps: readonly Step[]): Promise<Result<Commit, TableFailure>>;
 }
