--- a/src/configuration/configuration_store.ts
+++ b/src/configuration/configuration_store.ts
@@ -73,8 +73,8 @@
     const next = new Map(this.records);
     for (const record of delta.records) {
       const key = getRecordKey(record.kind, record.name);
-      const known = next.get(key);
-      if (known === undefined || known.revision < record.revision) {
+      const existing = next.get(key);
+      if (existing === undefined || existing.revision < record.revision) {
         next.set(key, record);
       }
     }
--- a/src/configuration/configuration_table.ts
+++ b/src/configuration/configuration_table.ts
@@ -173,8 +173,9 @@
         ? this.findSuperseded(change, current)
         : Result.err(toConflict(current));
     }
-    const known = (head.value?.value as Head | undefined)?.revision ?? 0;
-    const record = createRecord(change, known + 1);
+    const latestRevision =
+      (head.value?.value as Head | undefined)?.revision ?? 0;
+    const record = createRecord(change, latestRevision + 1);
     const commit = await this.table.transact([
       createPut(HEAD_KEY, head.value, {revision: record.revision}),
       createPut(recordKey, row.value, record),
--- a/src/configuration/parse_record.ts
+++ b/src/configuration/parse_record.ts
@@ -37,7 +37,7 @@
     return Result.err(formatIssues(head.error));
   }
   const {schemaVersion, kind} = head.data;
-  if (!SCHEMA_VERSIONS.some(known => known === schemaVersion)) {
+  if (!SCHEMA_VERSIONS.some(supported => supported === schemaVersion)) {
     return Result.err([
       `schemaVersion: ${schemaVersion} is not supported; use ${SCHEMA_VERSIONS.join(' or ')}`,
     ]);
--- a/src/peer/peers.ts
+++ b/src/peer/peers.ts
@@ -123,7 +123,7 @@
     const found = this.connections.get(host)?.at(-1);
     const candidate = this.options
       .listCandidates()
-      .find(known => known.host === host);
+      .find(other => other.host === host);
     if (found !== undefined || candidate === undefined) {
       return found;
     }
@@ -199,20 +199,20 @@
 
   private addConnection(connection: PeerConnection): void {
     const host = connection.getPeer()?.host ?? '';
-    const known = this.connections.get(host) ?? [];
-    this.connections.set(host, [...known, connection]);
+    const existing = this.connections.get(host) ?? [];
+    this.connections.set(host, [...existing, connection]);
   }
 
   private removeConnection(connection: PeerConnection): void {
     const host = connection.getPeer()?.host ?? '';
-    const rest = (this.connections.get(host) ?? []).filter(
+    const remaining = (this.connections.get(host) ?? []).filter(
       other => other !== connection,
     );
-    if (rest.length === 0) {
+    if (remaining.length === 0) {
       this.connections.delete(host);
       return;
     }
-    this.connections.set(host, rest);
+    this.connections.set(host, remaining);
   }
 }
 
