--- a/src/peer/peer_link.ts
+++ b/src/peer/peer_link.ts
@@ -12,7 +12,7 @@
   /** Interval between a heartbeat reply and the next heartbeat, in milliseconds. */
   readonly heartbeatMs: number;
   /** Time limit for the reply to a heartbeat, in milliseconds; then the connection is replaced. */
-  readonly silenceMs: number;
+  readonly heartbeatTimeoutMs: number;
   /**
    * Creates the body of the next heartbeat.
    * @param peer - The peer that it is sent to.
@@ -77,7 +77,7 @@
   }
 
   /** Sends the next heartbeat without waiting for the interval, to deliver updates early. */
-  hurry(): void {
+  sendHeartbeatNow(): void {
     this.heartbeatTrigger.abort();
   }
 
@@ -133,13 +133,13 @@
     peer: PeerIdentity,
   ): Promise<void> {
     const {clock} = this.options.connection;
-    const {heartbeatMs, silenceMs} = this.options;
+    const {heartbeatMs, heartbeatTimeoutMs} = this.options;
     let acknowledged: unknown;
     while (!this.stopped.signal.aborted) {
       const sentMs = clock.monotonicMs();
       const reply = await connection.request(
         this.options.createHeartbeat(peer, acknowledged),
-        silenceMs,
+        heartbeatTimeoutMs,
       );
       if (reply.isErr) {
         connection.close(`heartbeat failed: ${reply.error.message}`);
--- a/src/peer/peers.ts
+++ b/src/peer/peers.ts
@@ -71,7 +71,7 @@
   /** Makes every link send a heartbeat without waiting for the interval, to deliver updates early. */
   hurry(): void {
     for (const link of this.links.values()) {
-      link.hurry();
+      link.sendHeartbeatNow();
     }
   }
 
@@ -187,7 +187,7 @@
       connection: this.options.connection,
       random: this.options.random,
       heartbeatMs: this.options.heartbeatMs,
-      silenceMs: this.options.silenceMs,
+      heartbeatTimeoutMs: this.options.silenceMs,
       createHeartbeat: this.options.createHeartbeat,
       ...pickCallbacks(this.options),
       onConnected: connection => this.addConnection(connection),
