--- a/src/random/hash.ts
+++ b/src/random/hash.ts
@@ -2,8 +2,9 @@
 const FNV_PRIME = 0x01000193;
 
 /**
- * Hashes text to an unsigned 32-bit number (FNV-1a with a final mix).
- * Stable across hosts and releases: slot numbers and peer choices depend on it.
+ * Hashes text to an unsigned 32-bit number (FNV-1a, then the MurmurHash3 finalizer).
+ * The result must be the same on all hosts and in all releases: slot numbers and the
+ * choice of peers depend on it.
  * @param text - Text to hash.
  */
 export function hashText(text: string): number {
@@ -21,31 +22,33 @@
 }
 
 /**
- * Returns the name that `rankByRendezvous` puts first, without ordering the others.
- * @param key - What is being placed.
+ * Returns the name that `rankByRendezvous` ranks first, without sorting the others.
+ * @param key - Key to assign.
  * @param names - Candidates.
+ * @returns The name, or `undefined` if there are no candidates.
  */
 export function findByRendezvous(
   key: string,
   names: Iterable<string>,
 ): string | undefined {
   let first: string | undefined;
-  let most = -1;
+  let highestHash = -1;
   for (const name of names) {
     const hash = hashText(`${key}|${name}`);
-    const isFirst = hash > most || (hash === most && name < (first ?? ''));
+    const isFirst =
+      hash > highestHash || (hash === highestHash && name < (first ?? ''));
     if (isFirst) {
       first = name;
-      most = hash;
+      highestHash = hash;
     }
   }
   return first;
 }
 
 /**
- * Orders names by rendezvous hash: every host computes the same order, and a
- * name that comes or goes moves only its own share.
- * @param key - What is being placed.
+ * Sorts names by rendezvous hash (highest random weight). Every host computes the
+ * same order, and adding or removing a name reassigns only the keys of that name.
+ * @param key - Key to assign.
  * @param names - Candidates.
  */
 export function rankByRendezvous(
--- a/src/random/index.ts
+++ b/src/random/index.ts
@@ -1,4 +1,4 @@
-/** Randomness and stable hashing. */
+/** Random numbers and stable hashing. */
 export type {Random} from './random.js';
 export {SeededRandom} from './seeded_random.js';
 export {SystemRandom} from './system_random.js';
--- a/src/random/random.ts
+++ b/src/random/random.ts
@@ -1,4 +1,4 @@
-/** Source of randomness, passed in so that runs can be repeated from a seed. */
+/** Source of random numbers, injected so that a run can be repeated from a seed. */
 export interface Random {
   /** Returns a number in [0, 1). */
   next(): number;
--- a/src/random/seeded_random.ts
+++ b/src/random/seeded_random.ts
@@ -3,7 +3,7 @@
 const INCREMENT = 0x6d2b79f5;
 const UINT32_RANGE = 0x100000000;
 
-/** Repeatable pseudo-random source (mulberry32 generator, 32-bit state). */
+/** Deterministic pseudo-random number generator (mulberry32, 32-bit state). */
 export class SeededRandom implements Random {
   private state: number;
 
--- a/src/random/system_random.ts
+++ b/src/random/system_random.ts
@@ -1,6 +1,6 @@
 import {Random} from './random.js';
 
-/** Randomness of the JavaScript engine; not for secrets. */
+/** Random numbers of the JavaScript engine (`Math.random`); not for secrets. */
 export class SystemRandom implements Random {
   next(): number {
     return Math.random();
--- a/src/time/clock.ts
+++ b/src/time/clock.ts
@@ -1,25 +1,25 @@
-/** Takes a timer back; does nothing once it has run. */
+/** Cancels a timer; has no effect once the timer has fired. */
 export type CancelTimer = () => void;
 
 /**
- * Source of time, passed in so that tests can run on a virtual clock.
+ * Source of time, injected so that tests can run on a virtual clock.
  */
 export interface Clock {
   /** Returns the wall-clock time. */
   now(): Date;
-  /** Returns milliseconds on a clock that never steps backwards. */
+  /** Returns the time of a clock that never steps backwards, in milliseconds. */
   monotonicMs(): number;
   /**
-   * Waits for a span of time.
-   * @param ms - Length of the wait in milliseconds.
-   * @param signal - Ends the wait early, without an error, when aborted.
+   * Waits for a duration.
+   * @param ms - Duration in milliseconds.
+   * @param signal - When aborted, resolves the promise early, without an error.
    */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
   /**
-   * Has a function called later, which costs less than a wait that may be ended.
-   * @param ms - When to call it, in milliseconds from now.
-   * @param call - The function.
-   * @returns Takes it back.
+   * Schedules a function call. Costs less than `sleep` with an abort signal.
+   * @param ms - Delay in milliseconds.
+   * @param call - Function to call.
+   * @returns A function that cancels the timer.
    */
   startTimer(ms: number, call: () => void): CancelTimer;
 }
--- a/src/time/end_with_any.ts
+++ b/src/time/end_with_any.ts
@@ -1,18 +1,19 @@
 /**
- * Makes a signal that is aborted with the first of several, for as long as these are
- * short-lived themselves: they hold on to it, where `AbortSignal.any` spends a request's
- * processor time on keeping them from it.
- * @param signals - What it ends with.
+ * Returns a signal that is aborted as soon as one of the given signals is.
+ *
+ * Use it only with short-lived signals: each of them keeps a reference to the
+ * returned one. `AbortSignal.any` avoids that, but costs CPU time on each request.
+ * @param signals - Signals to combine.
  */
 export function endWithAny(signals: readonly AbortSignal[]): AbortSignal {
-  const either = new AbortController();
+  const combined = new AbortController();
   for (const signal of signals) {
     if (signal.aborted) {
-      either.abort(signal.reason);
-      return either.signal;
+      combined.abort(signal.reason);
+      return combined.signal;
     }
-    const end = () => either.abort(signal.reason);
-    signal.addEventListener('abort', end, {once: true});
+    const abort = () => combined.abort(signal.reason);
+    signal.addEventListener('abort', abort, {once: true});
   }
-  return either.signal;
+  return combined.signal;
 }
--- a/src/time/index.ts
+++ b/src/time/index.ts
@@ -1,4 +1,4 @@
-/** Time: the clock interface, the machine's clock and a virtual one. */
+/** Clock interface, its system and virtual implementations, and timeout helpers. */
 export type {CancelTimer, Clock} from './clock.js';
 export {endWithAny} from './end_with_any.js';
 export {SilenceWatch} from './silence_watch.js';
--- a/src/time/silence_watch.ts
+++ b/src/time/silence_watch.ts
@@ -1,63 +1,64 @@
 import {CancelTimer, Clock} from './clock.js';
 
-/** Longest pause between looks, in milliseconds. */
-const MAX_WAIT_MS = 500;
-/** Made once: an error made for each watch costs a trace of the stack. */
-const TOO_SILENT = new Error('silent for too long');
+/** Longest interval between two checks, in milliseconds. */
+const MAX_CHECK_INTERVAL_MS = 500;
+/** Shared by all instances: each new Error captures a stack trace, which is costly. */
+const INACTIVE = new Error('inactive for too long');
 
 /**
- * Ends a stream that has been silent for too long. One timer per stream, not
- * one per token: it is set again only when it has run out.
+ * Aborts a signal after a period without activity, such as a stream that sends no
+ * data. A stream needs one timer, not one per token: `touch` only stores the time,
+ * and the timer is restarted when it fires.
  */
 export class SilenceWatch {
-  private readonly silent = new AbortController();
-  private lastMs: number;
+  private readonly controller = new AbortController();
+  private lastActivityMs: number;
   private cancel: CancelTimer = () => undefined;
 
   /**
-   * @param clock - Measures the silence.
-   * @param limitMs - Longest silence, in milliseconds.
+   * @param clock - Measures the inactivity.
+   * @param limitMs - Longest inactivity allowed, in milliseconds.
    */
   constructor(
     private readonly clock: Clock,
     private limitMs: number,
   ) {
-    this.lastMs = clock.monotonicMs();
-    this.look();
+    this.lastActivityMs = clock.monotonicMs();
+    this.check();
   }
 
-  /** Aborted after too long a silence. */
+  /** Returns a signal that is aborted when the limit is reached. */
   getSignal(): AbortSignal {
-    return this.silent.signal;
+    return this.controller.signal;
   }
 
-  /** Returns the longest silence allowed now, in milliseconds. */
+  /** Returns the current limit, in milliseconds. */
   getLimitMs(): number {
     return this.limitMs;
   }
 
   /**
-   * Notes a sign of life.
-   * @param limitMs - Longest silence from here on, in milliseconds.
+   * Records activity.
+   * @param limitMs - Longest inactivity allowed from now on, in milliseconds.
    */
   touch(limitMs: number): void {
-    this.lastMs = this.clock.monotonicMs();
+    this.lastActivityMs = this.clock.monotonicMs();
     this.limitMs = limitMs;
   }
 
-  /** Ends the watch. */
+  /** Cancels the timer; the signal is not aborted any more. */
   stop(): void {
     this.cancel();
   }
 
-  private look(): void {
-    const silentMs = this.clock.monotonicMs() - this.lastMs;
-    if (silentMs >= this.limitMs) {
-      this.silent.abort(TOO_SILENT);
+  private check(): void {
+    const inactiveMs = this.clock.monotonicMs() - this.lastActivityMs;
+    if (inactiveMs >= this.limitMs) {
+      this.controller.abort(INACTIVE);
       return;
     }
-    // The limit may shrink meanwhile, so look again soon enough.
-    const waitMs = Math.min(this.limitMs - silentMs, MAX_WAIT_MS);
-    this.cancel = this.clock.startTimer(waitMs, () => this.look());
+    // `touch` may lower the limit in the meantime, so the wait has an upper bound.
+    const waitMs = Math.min(this.limitMs - inactiveMs, MAX_CHECK_INTERVAL_MS);
+    this.cancel = this.clock.startTimer(waitMs, () => this.check());
   }
 }
--- a/src/time/system_clock.ts
+++ b/src/time/system_clock.ts
@@ -1,6 +1,6 @@
 import {CancelTimer, Clock} from './clock.js';
 
-/** Clock of the machine the process runs on. */
+/** Clock of the operating system. */
 export class SystemClock implements Clock {
   now(): Date {
     return new Date();
--- a/src/time/virtual_clock.ts
+++ b/src/time/virtual_clock.ts
@@ -1,16 +1,21 @@
 import {CancelTimer, Clock} from './clock.js';
-import {Sleeper, SleeperQueue} from './sleeper_queue.js';
+import {VirtualTimer, VirtualTimerQueue} from './virtual_timer_queue.js';
 
-/** Turns of the event loop given to woken tasks before time moves again. */
+/** Turns of the event loop in which resumed tasks run before time advances again. */
 const SETTLE_TURNS = 4;
 
-/** Clock that moves only when told to; used by tests, proofs and measurements. */
+/**
+ * Clock that advances only on request; used by tests, simulations and
+ * measurements.
+ */
 export class VirtualClock implements Clock {
   private currentMs = 0;
   private order = 0;
-  private readonly sleepers = new SleeperQueue();
+  private readonly timers = new VirtualTimerQueue();
 
-  /** @param epochMs - Wall-clock time at virtual zero, in Unix milliseconds. */
+  /**
+   * @param epochMs - Wall-clock time at monotonic time 0, in Unix milliseconds.
+   */
   constructor(private readonly epochMs = 0) {}
 
   now(): Date {
@@ -27,50 +32,50 @@
     }
     return new Promise(resolve => {
       const cancel = () => {
-        sleeper.cancelled = true;
+        timer.cancelled = true;
         resolve();
       };
-      const sleeper: Sleeper = {
-        wakeAtMs: this.currentMs + Math.max(0, ms),
+      const timer: VirtualTimer = {
+        dueMs: this.currentMs + Math.max(0, ms),
         order: this.order++,
         cancelled: false,
-        wake: () => {
+        fire: () => {
           signal?.removeEventListener('abort', cancel);
           resolve();
         },
       };
-      this.sleepers.add(sleeper);
+      this.timers.add(timer);
       signal?.addEventListener('abort', cancel, {once: true});
     });
   }
 
   startTimer(ms: number, call: () => void): CancelTimer {
-    const sleeper: Sleeper = {
-      wakeAtMs: this.currentMs + Math.max(0, ms),
+    const timer: VirtualTimer = {
+      dueMs: this.currentMs + Math.max(0, ms),
       order: this.order++,
       cancelled: false,
-      wake: call,
+      fire: call,
     };
-    this.sleepers.add(sleeper);
+    this.timers.add(timer);
     return () => {
-      sleeper.cancelled = true;
+      timer.cancelled = true;
     };
   }
 
   /**
-   * Moves time forward and wakes every sleeper that falls due, in order.
-   * @param ms - Span to move by, in milliseconds.
+   * Advances the time and fires all timers that become due, in order.
+   * @param ms - Duration to advance by, in milliseconds.
    */
   async advance(ms: number): Promise<void> {
     const endMs = this.currentMs + ms;
     await this.settle();
     for (;;) {
-      const next = this.sleepers.takeNext(endMs);
+      const next = this.timers.takeNext(endMs);
       if (next === undefined) {
         break;
       }
-      this.currentMs = Math.max(this.currentMs, next.wakeAtMs);
-      next.wake();
+      this.currentMs = Math.max(this.currentMs, next.dueMs);
+      next.fire();
       await this.settle();
     }
     this.currentMs = endMs;
--- a/src/time/sleeper_queue.ts
+++ b/src/time/virtual_timer_queue.ts
@@ -1,20 +1,19 @@
-/** A waiter of the virtual clock. */
-export interface Sleeper {
-  readonly wakeAtMs: number;
-  /** Order of going to sleep; breaks ties. */
+/** A pending wait or timer of the virtual clock. */
+export interface VirtualTimer {
+  readonly dueMs: number;
+  /** Order in which timers were added; breaks ties between equal due times. */
   readonly order: number;
-  readonly wake: () => void;
-  /** Set when the wait was ended early. */
+  readonly fire: () => void;
+  /** True once the wait was ended early or the timer was cancelled. */
   cancelled: boolean;
 }
 
-/** Sleepers by the time they wake (binary heap). */
-export class SleeperQueue {
-  private readonly heap: Sleeper[] = [];
+/** Priority queue of timers by due time (binary heap). */
+export class VirtualTimerQueue {
+  private readonly heap: VirtualTimer[] = [];
 
-  /** Adds a sleeper. */
-  add(sleeper: Sleeper): void {
-    this.heap.push(sleeper);
+  add(timer: VirtualTimer): void {
+    this.heap.push(timer);
     let index = this.heap.length - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
@@ -27,13 +26,14 @@
   }
 
   /**
-   * Takes the next sleeper that wakes by a time.
-   * @param endMs - Latest time, in milliseconds.
+   * Removes and returns the first timer that is due and not cancelled.
+   * @param endMs - Latest due time, in milliseconds.
+   * @returns The timer, or `undefined` if none is due by then.
    */
-  takeNext(endMs: number): Sleeper | undefined {
+  takeNext(endMs: number): VirtualTimer | undefined {
     for (;;) {
       const next = this.heap[0];
-      if (next === undefined || next.wakeAtMs > endMs) {
+      if (next === undefined || next.dueMs > endMs) {
         return undefined;
       }
       this.removeFirst();
@@ -74,10 +74,7 @@
     if (a === undefined || b === undefined) {
       return false;
     }
-    return (
-      a.wakeAtMs < b.wakeAtMs ||
-      (a.wakeAtMs === b.wakeAtMs && a.order < b.order)
-    );
+    return a.dueMs < b.dueMs || (a.dueMs === b.dueMs && a.order < b.order);
   }
 
   private swap(index: number, other: number): void {
--- a/test/random/hash_test.ts
+++ b/test/random/hash_test.ts
@@ -2,7 +2,7 @@
 import {findByRendezvous, rankByRendezvous} from '../../src/random/index.js';
 
 describe('findByRendezvous', () => {
-  it('finds the name that is ranked first, whatever the key and the names', () => {
+  it('returns the name that rankByRendezvous ranks first, for 0 to 49 names', () => {
     for (let count = 0; count < 50; count++) {
       const names = Array.from({length: count}, (_unused, at) => `s${at * 7}`);
       const key = `part-${count}`;
