--- a/src/http/channel_pool.ts
+++ b/src/http/channel_pool.ts
@@ -1,14 +1,14 @@
 import {Agent, ClientRequest} from 'node:http';
 import {Socket} from 'node:net';
 
-/** Longest time a channel is kept idle, in milliseconds. */
+/** Longest time a connection is kept idle, in milliseconds. */
 const MAX_IDLE_MS = 2000;
-/** Share of the other side's own idle limit that is used. */
+/** Fraction of the idle timeout announced by the server that is used. */
 const IDLE_SHARE = 0.6;
 const MS_PER_SECOND = 1000;
-const TIMEOUT_HINT = /timeout=(\d+)/i;
+const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/i;
 
-/** A channel's request as the agent keeps it. */
+/** Socket with the request that node:http attaches to it. */
 interface AgentSocket extends Socket {
   readonly _httpMessage?: {
     readonly res?: {readonly headers: Readonly<Record<string, unknown>>};
@@ -16,12 +16,12 @@
 }
 
 /**
- * Channels to one server that are kept between requests.
+ * Pool of keep-alive connections to one server.
  *
- * A channel is kept only for as long as the other side says that it waits, with
- * a margin, so that no request meets the close; one whose server does not say
- * is not kept. A channel that receives a byte while idle is closed: what comes
- * belongs to no request.
+ * A connection is kept idle for less time than the server announces in its
+ * `Keep-Alive` header, so that no request is sent while the server closes the
+ * connection. If the server announces no timeout, the connection is not reused. One that
+ * receives data while idle is closed, because the data belongs to no request.
  */
 export class ChannelPool extends Agent {
   private isClosing = false;
@@ -30,7 +30,7 @@
     super({keepAlive: true, scheduling: 'lifo'});
   }
 
-  /** Closes the channels that serve no request; the others end by themselves. */
+  /** Closes the idle connections; the others are closed after their request. */
   closeIdle(): void {
     this.isClosing = true;
     for (const sockets of Object.values(this.freeSockets)) {
@@ -40,10 +40,10 @@
     }
   }
 
-  /** Called by the agent when a channel becomes idle. */
+  /** Called by the agent when a connection becomes idle. */
   override keepSocketAlive(socket: AgentSocket): boolean {
     const hint = socket._httpMessage?.res?.headers['keep-alive'];
-    const seconds = TIMEOUT_HINT.exec(String(hint ?? ''))?.[1];
+    const seconds = KEEP_ALIVE_TIMEOUT.exec(String(hint ?? ''))?.[1];
     if (seconds === undefined || this.isClosing) {
       return false;
     }
@@ -54,7 +54,7 @@
     return true;
   }
 
-  /** Called by the agent when an idle channel gets a request. */
+  /** Called by the agent when an idle connection is reused for a request. */
   override reuseSocket(socket: Socket, request: ClientRequest): void {
     socket.off('data', destroySocket);
     socket.setTimeout(0);
--- a/src/http/http_request.ts
+++ b/src/http/http_request.ts
@@ -3,30 +3,31 @@
 import {got, RequestError} from 'got';
 import {Result} from 'true-myth';
 
-/** An HTTP exchange that brought a status. */
+/** Response to an HTTP request, with any status code. */
 export interface HttpAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** An HTTP exchange that brought none. */
+/** An HTTP request that got no response. */
 export interface HttpFailure {
-  /** True when the request certainly did not reach the other side. */
+  /** True if the request certainly did not reach the server. */
   readonly unreached: boolean;
   readonly detail: string;
 }
 
-/** What to send. */
+/** An HTTP request with an optional JSON body. */
 export interface HttpRequest {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly url: string;
   readonly json?: unknown;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Limit on the whole exchange, in milliseconds. */
+  /** Timeout for the complete response, in milliseconds. */
   readonly timeoutMs: number;
   /**
-   * Whether a call that is given up must not arrive any more. A channel that is
-   * closed still delivers what a cut holds up, one that is reset does not.
+   * Whether a request must not reach the server after it has timed out; its connection is
+   * then reset. A connection that is closed normally still delivers data that was held
+   * up by a network interruption; one that is reset does not.
    */
   readonly recalls?: boolean;
 }
@@ -39,13 +40,14 @@
 ]);
 
 /**
- * Sends one JSON request, once: retries are the caller's decision.
- * @param request - What to send.
+ * Sends a JSON request once, without retries or redirects.
+ * @param request - Request to send.
+ * @returns The response, whatever its status, or why there is none.
  */
 export async function sendJson(
   request: HttpRequest,
 ): Promise<Result<HttpAnswer, HttpFailure>> {
-  const recall = new Recall(request);
+  const timeoutReset = new TimeoutReset(request);
   try {
     const call = got(request.url, {
       method: request.method,
@@ -56,29 +58,29 @@
       throwHttpErrors: false,
       followRedirect: false,
     });
-    void call.on('request', sent => recall.watch(sent));
+    void call.on('request', sent => timeoutReset.start(sent));
     const response = await call;
     return Result.ok({
       status: response.statusCode,
       body: parseJson(response.body),
     });
   } catch (error) {
-    return Result.err(recall.failure ?? toHttpFailure(error));
+    return Result.err(timeoutReset.failure ?? toHttpFailure(error));
   } finally {
-    recall.stop();
+    timeoutReset.stop();
   }
 }
 
-/** Resets a call's channel when its time is up, where the call asks for that. */
-class Recall {
-  /** What became of a call that was recalled. */
+/** Resets the connection of a request that times out, if the request asks for that. */
+class TimeoutReset {
+  /** Set once the request has timed out. */
   failure: HttpFailure | undefined;
   private socket: Socket | undefined;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly request: HttpRequest) {}
 
-  watch(sent: ClientRequest): void {
+  start(sent: ClientRequest): void {
     if (this.request.recalls !== true) {
       return;
     }
@@ -92,7 +94,7 @@
 
   private reset(sent: ClientRequest): void {
     const unreached = this.socket?.connecting ?? true;
-    const detail = `given up after ${this.request.timeoutMs} ms`;
+    const detail = `no complete response within ${this.request.timeoutMs} ms`;
     this.failure = {unreached, detail};
     if (unreached) {
       sent.destroy();
@@ -102,7 +104,7 @@
   }
 }
 
-/** Tells a request that never left from one whose answer was lost. */
+/** Distinguishes a request that never reached the server from one that may have. */
 export function toHttpFailure(error: unknown): HttpFailure {
   const code = error instanceof RequestError ? error.code : '';
   const detail = error instanceof Error ? error.message : String(error);
--- a/src/http/index.ts
+++ b/src/http/index.ts
@@ -1,4 +1,4 @@
-/** HTTP towards the outside: one exchange at a time, retries left to callers. */
+/** Outgoing HTTP requests without retries, and pools of keep-alive connections. */
 export type {HttpAnswer, HttpFailure, HttpRequest} from './http_request.js';
 export {sendJson, toHttpFailure} from './http_request.js';
 export {refusesChannels} from './refuses_channels.js';
--- a/src/http/refuses_channels.ts
+++ b/src/http/refuses_channels.ts
@@ -1,16 +1,16 @@
 import {connect} from 'node:net';
 
 /**
- * Longest look, in milliseconds: the answer takes one way there and back, and the next
- * attempt at what was lost waits for it.
+ * Timeout in milliseconds. The reply takes one network round trip, and the next attempt
+ * of the lost request waits for it.
  */
-const LOOK_MS = 100;
-const REFUSED = 'ECONNREFUSED';
+const TIMEOUT_MS = 100;
+const REFUSED_CODE = 'ECONNREFUSED';
 
 /**
- * Looks whether nothing listens at an address. One that cannot be reached, or is slow
- * to answer, does not refuse.
- * @param address - IP number and port.
+ * Checks whether an address refuses TCP connections because nothing listens there.
+ * An address that is unreachable, or does not reply in time, does not count as refusing.
+ * @param address - IP address and port.
  */
 export function refusesChannels(address: string): Promise<boolean> {
   const colon = address.lastIndexOf(':');
@@ -18,7 +18,7 @@
   const port = Number(address.slice(colon + 1));
   return new Promise(resolve => {
     const socket = connect({host, port});
-    const timer = setTimeout(() => settle(false), LOOK_MS);
+    const timer = setTimeout(() => settle(false), TIMEOUT_MS);
     const settle = (refuses: boolean) => {
       clearTimeout(timer);
       socket.destroy();
@@ -26,7 +26,7 @@
     };
     socket.once('connect', () => settle(false));
     socket.on('error', (error: NodeJS.ErrnoException) =>
-      settle(error.code === REFUSED),
+      settle(error.code === REFUSED_CODE),
     );
   });
 }
--- a/test/http/http_request_test.ts
+++ b/test/http/http_request_test.ts
@@ -17,8 +17,11 @@
 
   afterEach(() => server.close());
 
-  /** Sends a call that nobody answers; tells how its channel ends. */
-  async function giveUp(recalls: boolean): Promise<string> {
+  /**
+   * Sends a request that times out.
+   * @returns `end`, or the error code, with which the server sees its connection close.
+   */
+  async function sendUntilTimeout(recalls: boolean): Promise<string> {
     const {port} = server.address() as AddressInfo;
     const call = sendJson({
       method: 'POST',
@@ -28,7 +31,7 @@
       recalls,
     });
     const socket = await accepted;
-    const ended = new Promise<string>(resolve => {
+    const closed = new Promise<string>(resolve => {
       socket.once('end', () => resolve('end'));
       socket.once('error', (error: Error & {code?: string}) =>
         resolve(error.code ?? error.message),
@@ -37,18 +40,18 @@
     socket.resume();
     const answer = await call;
     expect(answer.isErr && answer.error.unreached).to.equal(false);
-    return ended;
+    return closed;
   }
 
-  it('resets the channel of a call that must not arrive once it is given up', async () => {
-    expect(await giveUp(true)).to.equal('ECONNRESET');
+  it('resets the connection on a timeout if the request must not arrive later', async () => {
+    expect(await sendUntilTimeout(true)).to.equal('ECONNRESET');
   });
 
-  it('closes the channel of any other call', async () => {
-    expect(await giveUp(false)).to.equal('end');
+  it('closes the connection normally on a timeout otherwise', async () => {
+    expect(await sendUntilTimeout(false)).to.equal('end');
   });
 
-  it('gives up a call whose channel never opens', async () => {
+  it('reports a request as unreached if no connection can be opened', async () => {
     const answer = await sendJson({
       method: 'POST',
       url: 'http://127.0.0.1:1/',
