--- a/src/log/consola_log.ts
+++ b/src/log/consola_log.ts
@@ -7,14 +7,14 @@
   process.stderr.write(line);
 };
 
-/** Log by consola: on standard error, or wherever lines are to go. */
+/** Log that writes through consola, to standard error by default. */
 export class ConsolaLog implements Log {
   private readonly consola: ConsolaInstance;
 
   /**
-   * @param clock - Gives the time of each line.
-   * @param common - Members that stand on every line, such as the host.
-   * @param writeLine - Takes a line with its end.
+   * @param clock - Provides the timestamps.
+   * @param common - Fields added to every line, such as the host.
+   * @param writeLine - Writes a line, which includes its line break.
    */
   constructor(
     private readonly clock: Clock,
@@ -22,7 +22,8 @@
     writeLine: (line: string) => void = writeStandardError,
   ) {
     this.consola = createConsola({
-      // Each line counts, and to compare it with the last costs more than to write it.
+      // With throttling, consola compares each line with the previous one to suppress
+      // repeats. No line may be suppressed, and comparing costs more than writing.
       throttle: 0,
       reporters: [
         {
--- a/src/log/format_line.ts
+++ b/src/log/format_line.ts
@@ -3,8 +3,9 @@
 const PLAIN = /^[\w.:/@+,*%-]+$/;
 
 /**
- * Formats an event as key=value pairs; values with spaces are quoted.
- * @param members - Pairs in print order; undefined values are left out.
+ * Formats fields as key=value pairs. Values with spaces or special characters are
+ * written as JSON strings.
+ * @param members - Fields in print order; those with the value `undefined` are omitted.
  */
 export function formatLine(members: LogMembers): string {
   const pairs: string[] = [];
--- a/src/log/index.ts
+++ b/src/log/index.ts
@@ -1,4 +1,4 @@
-/** Logs: one line of key=value pairs per event. */
+/** Logging: one line of key=value pairs per event. */
 export type {Log, LogMembers, LogValue} from './log.js';
 export {ConsolaLog} from './consola_log.js';
 export {SilentLog} from './silent_log.js';
--- a/src/log/log.ts
+++ b/src/log/log.ts
@@ -1,7 +1,7 @@
-/** Values that may stand in a log line. */
+/** Value of a field; fields with the value `undefined` are omitted. */
 export type LogValue = string | number | boolean | undefined;
 
-/** Members of a log line, in the order they are printed. */
+/** Fields of a log line, in print order. */
 export type LogMembers = Readonly<Record<string, LogValue>>;
 
 /** Writes one line of key=value pairs per event. */
--- a/src/log/queued_output.ts
+++ b/src/log/queued_output.ts
@@ -1,81 +1,87 @@
 import {write} from 'node:fs';
 
-/** Writes text to a descriptor; calls back with an error or the bytes taken. */
+/** Writes text to a descriptor; calls back with an error or the number of bytes written. */
 export type WriteText = (
   text: string,
   done: (error: Error | null, bytes: number) => void,
 ) => void;
 
-/** Bytes that may wait; lines beyond are dropped and counted. */
-const MAX_WAITING_BYTES = 1_048_576;
+/**
+ * Longest text in the queue, in UTF-16 code units; further lines are dropped and
+ * counted.
+ */
+const MAX_QUEUED_LENGTH = 1_048_576;
 const STANDARD_OUTPUT = 1;
-const RETRY_MS = 20;
-/** Longest wait for the reader at the end of the process, in milliseconds. */
-const DRAIN_MS = 200;
+const RETRY_DELAY_MS = 20;
+/** Longest time `drain` waits for the reader, in milliseconds. */
+const DRAIN_TIMEOUT_MS = 200;
 
 /**
- * Lines on their way to a pipe whose reader may be slow. Writing never blocks
- * the process: what does not fit is dropped, and the next line that fits says
- * how many were.
+ * Queue of lines for a pipe whose reader may be slow. Writing never blocks the process:
+ * if the queue is full, lines are dropped, and the number of dropped lines is written
+ * before the next line that fits.
  */
 export class QueuedOutput {
   private waiting: string[] = [];
-  private waitingBytes = 0;
+  private queuedLength = 0;
   private writing = false;
   private dropped = 0;
-  /** Set while lines are gathered. */
+  /** Set while lines are collected into a batch. */
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param writeText - Where the text goes; standard output if left out.
-   * @param gatherMs - Time for which lines are gathered, in milliseconds: each write
-   *   costs two changes of thread, and there are several lines a request.
+   * @param writeText - Writes the text; standard output by default.
+   * @param batchMs - Time for which lines are collected before they are written
+   *   together, in milliseconds; 0 writes at once. Each write costs two thread
+   *   switches, and each request logs several lines.
    */
   constructor(
     private readonly writeText: WriteText = writeStandardOutput,
-    private readonly gatherMs = 0,
+    private readonly batchMs = 0,
   ) {}
 
-  /** Returns the lines that were dropped since the last that fitted. */
+  /** Returns the number of lines dropped since the last line that fitted. */
   countDropped(): number {
     return this.dropped;
   }
 
-  /** Adds a line. */
+  /** Adds a line, which includes its line break. */
   add(line: string): void {
-    if (this.waitingBytes + line.length > MAX_WAITING_BYTES) {
+    if (this.queuedLength + line.length > MAX_QUEUED_LENGTH) {
       this.dropped++;
       return;
     }
     if (this.dropped > 0) {
-      this.push(`level=warn event=log_lines_dropped count=${this.dropped}\n`);
+      this.enqueue(
+        `level=warn event=log_lines_dropped count=${this.dropped}\n`,
+      );
       this.dropped = 0;
     }
-    this.push(line);
-    if (this.gatherMs === 0) {
+    this.enqueue(line);
+    if (this.batchMs === 0) {
       this.flush();
       return;
     }
     this.timer ??= setTimeout(() => {
       this.timer = undefined;
       this.flush();
-    }, this.gatherMs);
+    }, this.batchMs);
   }
 
-  /** Waits until what was added is written, or its reader does not take it. */
+  /** Waits until all lines are written, or the reader has not read them in time. */
   async drain(): Promise<void> {
     clearTimeout(this.timer);
     this.timer = undefined;
     this.flush();
-    const endMs = performance.now() + DRAIN_MS;
-    while (this.writing && performance.now() < endMs) {
-      await new Promise(resolve => setTimeout(resolve, RETRY_MS));
+    const deadlineMs = performance.now() + DRAIN_TIMEOUT_MS;
+    while (this.writing && performance.now() < deadlineMs) {
+      await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
     }
   }
 
-  private push(line: string): void {
+  private enqueue(line: string): void {
     this.waiting.push(line);
-    this.waitingBytes += line.length;
+    this.queuedLength += line.length;
   }
 
   private flush(): void {
@@ -84,7 +90,7 @@
     }
     const text = this.waiting.join('');
     this.waiting = [];
-    this.waitingBytes = 0;
+    this.queuedLength = 0;
     this.send(text);
   }
 
@@ -93,8 +99,8 @@
     this.writeText(text, (error, bytes) => {
       const rest = Buffer.from(text).subarray(error === null ? bytes : 0);
       if (rest.length > 0) {
-        // The pipe is full, or took a part.
-        setTimeout(() => this.send(rest.toString()), RETRY_MS).unref();
+        // The pipe is full or accepted only part of the text.
+        setTimeout(() => this.send(rest.toString()), RETRY_DELAY_MS).unref();
         return;
       }
       this.writing = false;
--- a/src/log/silent_log.ts
+++ b/src/log/silent_log.ts
@@ -1,6 +1,6 @@
 import {Log} from './log.js';
 
-/** Log that keeps nothing; for tests and proofs. */
+/** Log that discards everything; for tests, simulations and measurements. */
 export class SilentLog implements Log {
   info(): void {}
   warn(): void {}
--- a/src/metrics/duration_histogram.ts
+++ b/src/metrics/duration_histogram.ts
@@ -1,6 +1,6 @@
 import {build, Histogram} from 'hdr-histogram-js';
 
-/** Upper bounds of the exposed buckets, in milliseconds. */
+/** Upper bounds of the exported buckets, in milliseconds. */
 export const BUCKETS_MS = [
   1, 2, 5, 10, 20, 50, 72, 100, 200, 310, 500, 1000, 2000, 5000, 10_000, 60_000,
 ] as const;
@@ -8,7 +8,7 @@
 const HIGHEST_MS = 600_000;
 const SIGNIFICANT_DIGITS = 2;
 
-/** Distribution of one duration: exact buckets, and HDR for percentiles. */
+/** Histogram of a duration: exact bucket counts, and an HDR histogram for percentiles. */
 export class DurationHistogram {
   private readonly buckets = new Array<number>(BUCKETS_MS.length).fill(0);
   private readonly hdr: Histogram = build({
@@ -18,7 +18,7 @@
   });
   private sumMs = 0;
 
-  /** Records a duration in milliseconds. */
+  /** Records a duration in milliseconds, clamped to 0 to `HIGHEST_MS`. */
   record(ms: number): void {
     const value = Math.min(HIGHEST_MS, Math.max(0, ms));
     this.sumMs += value;
@@ -39,13 +39,13 @@
     return this.sumMs;
   }
 
-  /** Returns how many durations do not exceed each bound of `BUCKETS_MS`. */
+  /** Returns, for each bound of `BUCKETS_MS`, the number of durations up to it. */
   listCumulative(): number[] {
     let total = 0;
     return this.buckets.map(count => (total += count));
   }
 
-  /** Returns the duration that a percentage of all do not exceed, in ms. */
+  /** Returns a percentile (0 to 100) of the durations, in milliseconds. */
   getPercentileMs(percentile: number): number {
     return this.hdr.getValueAtPercentile(percentile);
   }
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,21 +1,21 @@
 import {BUCKETS_MS, DurationHistogram} from './duration_histogram.js';
 
-/** Labels of a sample. */
+/** Label values of a sample, by label name. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** A metric that is read when it is asked for. */
+/** A metric whose value is read when the metrics are formatted. */
 interface Gauge {
   readonly help: string;
   readonly read: () => number;
 }
 
-/** A metric that adds up, by labels. */
+/** A metric that only increases; one value per set of labels. */
 interface Counter {
   readonly help: string;
   readonly values: Map<string, number>;
 }
 
-/** A distribution of durations, by labels. */
+/** Durations; one histogram per set of labels. */
 interface Distribution {
   readonly help: string;
   readonly histograms: Map<string, DurationHistogram>;
@@ -46,14 +46,14 @@
     this.distributions.set(name, {help, histograms: new Map()});
   }
 
-  /** Counts one event. */
+  /** Increments a counter by one; no effect if it is not declared. */
   increment(name: string, labels: Labels = {}): void {
     const values = this.counters.get(name)?.values;
     const key = formatLabels(labels);
     values?.set(key, (values.get(key) ?? 0) + 1);
   }
 
-  /** Returns the value of a counter. */
+  /** Returns the value of a counter; 0 if it was never incremented. */
   getCount(name: string, labels: Labels = {}): number {
     return this.counters.get(name)?.values.get(formatLabels(labels)) ?? 0;
   }
@@ -75,21 +75,21 @@
     histogram.record(ms);
   }
 
-  /** Writes everything in the Prometheus text format. */
+  /** Formats all metrics in the Prometheus text format. */
   format(): string {
     const lines: string[] = [];
     for (const [name, counter] of this.counters) {
-      lines.push(...formatHead(name, counter.help, 'counter'));
+      lines.push(...formatMetadata(name, counter.help, 'counter'));
       for (const [labels, value] of counter.values) {
-        lines.push(`${PREFIX}${name}${wrap(labels)} ${value}`);
+        lines.push(`${PREFIX}${name}${wrapLabels(labels)} ${value}`);
       }
     }
     for (const [name, gauge] of this.gauges) {
-      lines.push(...formatHead(name, gauge.help, 'gauge'));
+      lines.push(...formatMetadata(name, gauge.help, 'gauge'));
       lines.push(`${PREFIX}${name} ${gauge.read()}`);
     }
     for (const [name, distribution] of this.distributions) {
-      lines.push(...formatHead(name, distribution.help, 'histogram'));
+      lines.push(...formatMetadata(name, distribution.help, 'histogram'));
       for (const [labels, histogram] of distribution.histograms) {
         lines.push(...formatHistogram(name, labels, histogram));
       }
@@ -99,7 +99,7 @@
   }
 }
 
-function formatHead(name: string, help: string, type: string): string[] {
+function formatMetadata(name: string, help: string, type: string): string[] {
   return [`# HELP ${PREFIX}${name} ${help}`, `# TYPE ${PREFIX}${name} ${type}`];
 }
 
@@ -109,32 +109,32 @@
   histogram: DurationHistogram,
 ): string[] {
   const lines: string[] = [];
-  const before = labels === '' ? '' : `${labels},`;
+  const labelPrefix = labels === '' ? '' : `${labels},`;
   const cumulative = histogram.listCumulative();
   for (const [index, boundMs] of BUCKETS_MS.entries()) {
     const bound = boundMs / MS_PER_SECOND;
     const count = cumulative[index] ?? 0;
-    lines.push(`${PREFIX}${name}_bucket{${before}le="${bound}"} ${count}`);
+    lines.push(`${PREFIX}${name}_bucket{${labelPrefix}le="${bound}"} ${count}`);
   }
   const total = histogram.getCount();
   lines.push(
-    `${PREFIX}${name}_bucket{${before}le="+Inf"} ${total}`,
-    `${PREFIX}${name}_sum${wrap(labels)} ${histogram.getSumMs() / MS_PER_SECOND}`,
-    `${PREFIX}${name}_count${wrap(labels)} ${total}`,
+    `${PREFIX}${name}_bucket{${labelPrefix}le="+Inf"} ${total}`,
+    `${PREFIX}${name}_sum${wrapLabels(labels)} ${histogram.getSumMs() / MS_PER_SECOND}`,
+    `${PREFIX}${name}_count${wrapLabels(labels)} ${total}`,
   );
   return lines;
 }
 
-/** Percentiles from the HDR histograms, which buckets can only bracket. */
+/** Adds percentiles of the HDR histograms, as buckets only give a range for them. */
 function formatPercentiles(name: string, distribution: Distribution): string[] {
   const gauge = `${name}_percentile`;
-  const lines = formatHead(gauge, `Percentiles of ${name}`, 'gauge');
+  const lines = formatMetadata(gauge, `Percentiles of ${name}`, 'gauge');
   for (const [labels, histogram] of distribution.histograms) {
-    const before = labels === '' ? '' : `${labels},`;
+    const labelPrefix = labels === '' ? '' : `${labels},`;
     for (const percentile of PERCENTILES) {
       const value = histogram.getPercentileMs(percentile) / MS_PER_SECOND;
       lines.push(
-        `${PREFIX}${gauge}{${before}percentile="${percentile}"} ${value}`,
+        `${PREFIX}${gauge}{${labelPrefix}percentile="${percentile}"} ${value}`,
       );
     }
   }
@@ -147,6 +147,6 @@
     .join(',');
 }
 
-function wrap(labels: string): string {
+function wrapLabels(labels: string): string {
   return labels === '' ? '' : `{${labels}}`;
 }
--- a/test/log/queued_output_test.ts
+++ b/test/log/queued_output_test.ts
@@ -2,11 +2,11 @@
 import {QueuedOutput} from '../../src/log/index.js';
 
 describe('QueuedOutput', () => {
-  it('drops lines with a count while its reader does not read', () => {
-    const taken: string[] = [];
+  it('drops lines while the reader does not read, and logs their number', () => {
+    const written: string[] = [];
     let release: (() => void) | undefined;
     const output = new QueuedOutput((text, done) => {
-      taken.push(text);
+      written.push(text);
       release = () => done(null, Buffer.byteLength(text));
     });
     output.add('first\n');
@@ -18,32 +18,32 @@
     release?.();
     release?.();
     output.add('last\n');
-    expect(taken.join('')).to.contain('event=log_lines_dropped count=');
+    expect(written.join('')).to.contain('event=log_lines_dropped count=');
   });
 
-  it('writes the rest of a line that was taken in part', async () => {
-    const taken: string[] = [];
+  it('writes the rest of a line that was only partly written', async () => {
+    const written: string[] = [];
     const output = new QueuedOutput((text, done) => {
       const part = text.slice(0, 3);
-      taken.push(part);
+      written.push(part);
       setImmediate(() => done(null, part.length));
     });
     output.add('abcdef');
-    while (taken.join('') !== 'abcdef') {
+    while (written.join('') !== 'abcdef') {
       await new Promise(resolve => setTimeout(resolve, 5));
     }
   });
 
-  it('writes lines that come within a moment at once, and all before the end', async () => {
-    const taken: string[] = [];
+  it('writes the lines of one batch together, and at the latest in drain', async () => {
+    const written: string[] = [];
     const output = new QueuedOutput((text, done) => {
-      taken.push(text);
+      written.push(text);
       setImmediate(() => done(null, Buffer.byteLength(text)));
     }, 60_000);
     output.add('first\n');
     output.add('second\n');
-    expect(taken).to.deep.equal([]);
+    expect(written).to.deep.equal([]);
     await output.drain();
-    expect(taken).to.deep.equal(['first\nsecond\n']);
+    expect(written).to.deep.equal(['first\nsecond\n']);
   });
 });
