--- a/src/cli/admin_client.ts
+++ b/src/cli/admin_client.ts
@@ -1,20 +1,20 @@
 import {got, Response} from 'got';
 import {CommandFailure, ExitCode} from './exit_code.js';
 
-/** Where the tool talks to, and with which key. */
+/** Server address and credentials. */
 export interface AdminClientOptions {
   readonly url: string;
   readonly key: string;
 }
 
-/** An answer of the administration interface. */
-export interface AdminAnswer {
+/** Successful response of the administration API. */
+export interface AdminResponse {
   readonly status: number;
   readonly body: unknown;
   readonly etag?: string;
 }
 
-/** A problem document, as far as the tool reads it. */
+/** Members of a problem document that the tool reads. */
 interface ProblemBody {
   readonly title?: string;
   readonly detail?: string;
@@ -24,22 +24,32 @@
 
 const TIMEOUT_MS = 15_000;
 
-/** Talks to the administration interface of one entry host. */
+/** Client of the administration API of one entry host. */
 export class AdminClient {
   constructor(private readonly options: AdminClientOptions) {}
 
-  /** Sends a GET request. */
-  get(path: string): Promise<AdminAnswer> {
+  /**
+   * Sends a GET request.
+   * @throws CommandFailure - If the host cannot be reached or reports a problem.
+   */
+  get(path: string): Promise<AdminResponse> {
     return this.send('GET', path);
   }
 
-  /** Sends a change, with its precondition as a header. */
+  /**
+   * Sends a request.
+   * @param method - HTTP method.
+   * @param path - Path with its query string.
+   * @param json - Body, if any.
+   * @param headers - Headers to add, such as the precondition of a change.
+   * @throws CommandFailure - If the host cannot be reached or reports a problem.
+   */
   send(
     method: 'GET' | 'PUT' | 'POST' | 'DELETE',
     path: string,
     json?: unknown,
     headers: Readonly<Record<string, string>> = {},
-  ): Promise<AdminAnswer> {
+  ): Promise<AdminResponse> {
     return this.request(method, path, json, headers);
   }
 
@@ -48,7 +58,7 @@
     path: string,
     json: unknown,
     headers: Readonly<Record<string, string>>,
-  ): Promise<AdminAnswer> {
+  ): Promise<AdminResponse> {
     let response: Response<string>;
     try {
       response = await got(`${this.options.url}${path}`, {
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,13 +1,13 @@
 import {hashKey} from '../caller/index.js';
 import {parseRecord} from '../configuration/index.js';
-import {AdminAnswer, AdminClient} from './admin_client.js';
+import {AdminClient, AdminResponse} from './admin_client.js';
 import {CommandFailure, ExitCode} from './exit_code.js';
 import {formatTable, TableRow} from './format_table.js';
 import {readRecords} from './read_records.js';
 
-/** What every command works with. */
+/** Dependencies of the commands. */
 export interface CommandContext {
-  /** Returns the client; fails when no server or key is given. */
+  /** Returns the client; throws `CommandFailure` if no operator key is given. */
   readonly getClient: () => AdminClient;
   /** Whether to print JSON instead of tables. */
   readonly json: boolean;
@@ -17,13 +17,13 @@
 
 /** Options of `apply` and `remove`. */
 export interface ChangeOptions {
-  /** Revision the change was made on; the current one when left out. */
+  /** Revision the change is based on; 0 for a new record, the current one by default. */
   readonly ifRevision?: number;
-  /** Skips the check that all names are known. */
+  /** Accepts names that are not known. */
   readonly force?: boolean;
 }
 
-/** Answer to a change. */
+/** Response body of a change. */
 interface ChangeBody {
   readonly revision: number;
   readonly state: string;
@@ -31,7 +31,7 @@
   readonly pending: readonly {readonly data_centre: string}[];
 }
 
-/** Answer to a list of records. */
+/** Response body of a list of records. */
 interface ListBody {
   readonly items: readonly {
     readonly name: string;
@@ -40,7 +40,7 @@
   }[];
 }
 
-const RECORDS = '/admin/v1/records';
+const RECORDS_PATH = '/admin/v1/records';
 const COLUMNS: Readonly<Record<string, readonly string[]>> = {
   hosts: [
     'host',
@@ -65,11 +65,11 @@
   ],
 };
 
-/** The commands of the tool. */
+/** Commands of the tool that call the administration API or work on record files. */
 export class Commands {
   constructor(private readonly context: CommandContext) {}
 
-  /** Creates or changes the records of files; returns the exit code. */
+  /** Creates or updates the records in files; returns the exit code. */
   async apply(
     files: readonly string[],
     options: ChangeOptions,
@@ -110,7 +110,7 @@
     return this.printChange(path, answer);
   }
 
-  /** Lists the records of a kind, or shows one. */
+  /** Lists the records of a kind, or prints one of them. */
   async get(
     kind: string,
     name: string | undefined,
@@ -124,7 +124,9 @@
       this.printJson(body);
       return ExitCode.OK;
     }
-    const {body} = await client.get(`${RECORDS}/${toPlural(kind)}${query}`);
+    const {body} = await client.get(
+      `${RECORDS_PATH}/${toPlural(kind)}${query}`,
+    );
     const {items} = body as ListBody;
     const rows = items.map(item => ({
       name: item.name,
@@ -136,7 +138,7 @@
     return ExitCode.OK;
   }
 
-  /** Shows one record in full, with its revision. */
+  /** Prints all members of a record, and its revision. */
   async describe(kind: string, name: string): Promise<ExitCode> {
     const client = this.context.getClient();
     const answer = await client.get(
@@ -154,7 +156,7 @@
     return ExitCode.OK;
   }
 
-  /** Shows the state of hosts, data centres and servers. */
+  /** Prints the state of hosts, data centres and servers, or of one of these. */
   async status(part: string | undefined): Promise<ExitCode> {
     const {body} = await this.context.getClient().get('/admin/v1/status');
     const status = body as Readonly<Record<string, unknown>>;
@@ -179,7 +181,7 @@
     return ExitCode.OK;
   }
 
-  /** Keeps new work from a host or server, or lets it have work again. */
+  /** Drains a host or server, so that it gets no new requests, or undrains it. */
   async drain(kind: string, name: string, on: boolean): Promise<ExitCode> {
     const client = this.context.getClient();
     if (kind === 'host') {
@@ -203,7 +205,7 @@
     return this.printChange(path, answer);
   }
 
-  /** Checks the records of files without any host. */
+  /** Validates the records in files, without contacting a host. */
   async validate(files: readonly string[]): Promise<ExitCode> {
     const mistakes: string[] = [];
     const rows: TableRow[] = [];
@@ -255,11 +257,11 @@
     }
   }
 
-  private printChange(path: string, answer: AdminAnswer): ExitCode {
+  private printChange(path: string, answer: AdminResponse): ExitCode {
     const change = answer.body as ChangeBody;
     const pending = change.pending.map(centre => centre.data_centre);
     const row = {
-      record: path.slice(RECORDS.length + 1),
+      record: path.slice(RECORDS_PATH.length + 1),
       revision: change.revision,
       state: change.state,
       in_force: change.in_force,
@@ -292,11 +294,11 @@
 }
 
 function getPath(kind: string, name: string): string {
-  return `${RECORDS}/${toPlural(kind)}/${encodeURIComponent(name)}`;
+  return `${RECORDS_PATH}/${toPlural(kind)}/${encodeURIComponent(name)}`;
 }
 
 function summarize(document: Readonly<Record<string, unknown>>): string {
-  const shown = [
+  const summaryMembers = [
     'target',
     'model',
     'service',
@@ -305,7 +307,7 @@
     'weight',
   ];
   const parts: string[] = [];
-  for (const member of shown) {
+  for (const member of summaryMembers) {
     const value = document[member];
     if (value !== undefined && value !== '') {
       parts.push(
--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -1,22 +1,22 @@
 /** Exit codes of the command-line tool; docs/OPERATIONS.md lists them. */
 export const ExitCode = {
   OK: 0,
-  /** The host could not be reached, or answered with a failure. */
+  /** The host could not be reached, or reported a failure. */
   FAILED: 1,
-  /** The command line or a file cannot be used. */
+  /** The command line is invalid, or a file cannot be read. */
   USAGE: 2,
-  /** The record has mistakes. */
+  /** The record is invalid. */
   INVALID: 3,
-  /** Another change came first. */
+  /** The record was modified by another change since it was read. */
   CONFLICT: 4,
-  /** There is no such record or host. */
+  /** The record or host does not exist. */
   NOT_FOUND: 5,
-  /** Accepted, but a data centre has not said that it is in force. */
+  /** Accepted, but not yet reported as in force by all data centres. */
   PENDING: 6,
 } as const;
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
 
-/** Ends the tool with a code and a message for standard error. */
+/** Error that ends the tool with an exit code and a message on standard error. */
 export class CommandFailure extends Error {
   constructor(
     readonly code: ExitCode,
--- a/src/cli/explain_logs.ts
+++ b/src/cli/explain_logs.ts
@@ -1,26 +1,26 @@
 import {createReadStream} from 'node:fs';
 import {createInterface} from 'node:readline';
 import {
+  ClassifiedRequest,
+  classifyRequest,
   countLosses,
-  judgeRequest,
   LossGroup,
   parseLogLine,
   RequestHistories,
-  RequestVerdict,
 } from '../explain/index.js';
 import {CommandFailure, ExitCode} from './exit_code.js';
 import {formatTable} from './format_table.js';
 
-/** What is to be explained. */
+/** Selects the requests to explain, and their grouping. */
 export interface ExplainOptions {
-  /** One request; all losses when left out. */
+  /** Id of the request to explain; if omitted, losses are counted. */
   readonly request?: string;
-  /** What losses are grouped by: see `LossGroup`. */
+  /** Grouping of the losses; a value of `LossGroup`. */
   readonly by: string;
-  /** First and last moment, as times with a date. */
+  /** Start and end of the period, inclusive, as date and time (ISO 8601). */
   readonly from?: string;
   readonly to?: string;
-  /** Length of a window, in seconds. */
+  /** Length of a time window for `LossGroup.WINDOW`, in seconds. */
   readonly windowSeconds: number;
 }
 
@@ -36,18 +36,22 @@
 ] as const;
 
 /**
- * Explains one request, or what was lost in a span of time, from log files.
- * @param files - Log files of any hosts.
- * @param options - What is to be explained.
- * @returns The text to show.
- * @throws CommandFailure - When a file, time or group cannot be used.
+ * Explains one request, or counts the losses of a period, from log files.
+ * @param files - Paths of log files of any hosts.
+ * @param options - Selects the requests and their grouping.
+ * @returns Text to print.
+ * @throws CommandFailure - If a file cannot be read, no file contains the request, or a
+ *   time or grouping is invalid.
  */
 export async function explainLogs(
   files: readonly string[],
   options: ExplainOptions,
 ): Promise<string> {
   if (files.length === 0) {
-    throw new CommandFailure(ExitCode.USAGE, 'no log file; name one or more');
+    throw new CommandFailure(
+      ExitCode.USAGE,
+      'no log file given; give at least one',
+    );
   }
   const histories = new RequestHistories();
   for (const file of files) {
@@ -75,7 +79,7 @@
     const detail = error instanceof Error ? error.message : String(error);
     throw new CommandFailure(
       ExitCode.USAGE,
-      `${file} cannot be read: ${detail}; name files that hosts logged to`,
+      `${file} cannot be read: ${detail}; give log files of hosts`,
     );
   }
 }
@@ -85,13 +89,13 @@
   if (found.length === 0) {
     throw new CommandFailure(
       ExitCode.USAGE,
-      `request ${id} is in none of these files; add the files of other hosts`,
+      `request ${id} is not in these log files; add those of other hosts`,
     );
   }
   const paragraphs = found.map(history => {
-    const {outcome, cause, host, version} = judgeRequest(history);
-    const why = cause === '' ? '' : `: ${cause}`;
-    const head = `${host}: ${outcome}${why} (version ${version})`;
+    const {outcome, cause, host, version} = classifyRequest(history);
+    const reason = cause === '' ? '' : `: ${cause}`;
+    const head = `${host}: ${outcome}${reason} (version ${version})`;
     return [head, ...history.lines.map(({text}) => `  ${text}`)].join('\n');
   });
   return paragraphs.join('\n');
@@ -104,23 +108,23 @@
   const fromMs = readTime(options.from, -Infinity);
   const toMs = readTime(options.to, Infinity);
   const getGroup = createGrouping(histories, options);
-  const verdicts = histories
+  const requests = histories
     .list()
-    .map(judgeRequest)
+    .map(classifyRequest)
     .filter(({atMs}) => atMs >= fromMs && atMs <= toMs);
-  const rows = countLosses(verdicts, getGroup).map(count => ({...count}));
+  const rows = countLosses(requests, getGroup).map(count => ({...count}));
   if (options.by === LossGroup.WINDOW) {
     rows.sort((a, b) => a.group.localeCompare(b.group));
   }
   return formatTable(rows, COLUMNS);
 }
 
-function readTime(text: string | undefined, otherwise: number): number {
-  const ms = text === undefined ? otherwise : Date.parse(text);
+function readTime(text: string | undefined, fallbackMs: number): number {
+  const ms = text === undefined ? fallbackMs : Date.parse(text);
   if (Number.isNaN(ms)) {
     throw new CommandFailure(
       ExitCode.USAGE,
-      `${text} is no time; write it as 2030-01-31T12:00:00Z`,
+      `"${text}" is not a valid time; write it as 2030-01-31T12:00:00Z`,
     );
   }
   return ms;
@@ -129,7 +133,7 @@
 function createGrouping(
   histories: RequestHistories,
   {by, windowSeconds}: ExplainOptions,
-): (verdict: RequestVerdict) => string {
+): (request: ClassifiedRequest) => string {
   const windowMs = windowSeconds * MS_PER_SECOND;
   switch (by) {
     case LossGroup.CAUSE:
--- a/src/cli/format_table.ts
+++ b/src/cli/format_table.ts
@@ -1,10 +1,10 @@
-/** A row of a table for people. */
+/** A table row: cell values by column name. */
 export type TableRow = Readonly<Record<string, unknown>>;
 
 /**
- * Formats rows as aligned columns, named in the first line.
- * @param rows - The rows.
- * @param columns - Members to show, in order.
+ * Formats rows as a text table with aligned columns and a header line.
+ * @param rows - Rows of the table.
+ * @param columns - Names of the columns to show, in order.
  */
 export function formatTable(
   rows: readonly TableRow[],
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,4 +1,4 @@
-/** The command-line tool. */
+/** Commands of the command-line tool for operators. */
 export {AdminClient} from './admin_client.js';
 export {Commands} from './commands.js';
 export type {ChangeOptions, CommandContext} from './commands.js';
--- a/src/cli/read_records.ts
+++ b/src/cli/read_records.ts
@@ -2,16 +2,17 @@
 import {parse} from 'smol-toml';
 import {CommandFailure, ExitCode} from './exit_code.js';
 
-/** A record as a file gives it. */
+/** A record read from a file; not validated. */
 export interface FileRecord {
   readonly file: string;
   readonly document: Readonly<Record<string, unknown>>;
 }
 
 /**
- * Reads the records of a file: one or a list of them in JSON, one in TOML.
- * @param file - Path of the file; its ending tells the format.
- * @throws CommandFailure - When it cannot be read.
+ * Reads the records of a file: a record or an array of them in JSON, or one in TOML.
+ * @param file - Path of the file; TOML if it ends in `.toml`, else JSON.
+ * @throws CommandFailure - If the file cannot be read or parsed, or a record is not an
+ *   object.
  */
 export async function readRecords(file: string): Promise<FileRecord[]> {
   let text: string;
--- a/src/explain/judge_request.ts
+++ b/src/explain/classify_request.ts
@@ -2,23 +2,23 @@
 import {LogLine} from './log_line.js';
 import {RequestHistory} from './request_history.js';
 
-/** What became of a request, and why. */
-export interface RequestVerdict {
+/** Outcome of a request at one host, and its cause. */
+export interface ClassifiedRequest {
   readonly id: string;
   readonly host: string;
-  /** When the host first logged it, Unix milliseconds. */
+  /** Time of its first log line, in Unix milliseconds. */
   readonly atMs: number;
   readonly route: string;
   readonly customer: string;
-  /** Version of the server that it was sent to last; `none` where it was not sent. */
+  /** Version of the server it was last sent to; `none` if it was not sent. */
   readonly version: string;
   readonly outcome: 'served' | 'late' | 'refused' | 'failed' | 'unfinished';
-  /** Empty where it was served in time. */
+  /** Why it was not served in time; empty if it was. */
   readonly cause: string;
 }
 
 const NONE = 'none';
-/** Ends of a request that no server ran. */
+/** Logged outcomes of requests that were refused, so that no server ran them. */
 const REFUSALS: ReadonlySet<string> = new Set([
   ProblemKind.NO_ROOM,
   ProblemKind.DEADLINE_UNREACHABLE,
@@ -27,10 +27,10 @@
 ]);
 
 /**
- * Judges a request by its lines: what the host answered, and what was lost.
- * @param history - The request at one host.
+ * Determines the outcome of a request, and its cause, from its log lines.
+ * @param history - Lines that one host logged about the request.
  */
-export function judgeRequest(history: RequestHistory): RequestVerdict {
+export function classifyRequest(history: RequestHistory): ClassifiedRequest {
   const {id, host, lines} = history;
   const common = {
     id,
@@ -47,7 +47,8 @@
   }
   const end = lines.find(({event}) => event === 'relayed');
   if (end === undefined) {
-    const cause = 'no end logged: the host ended, or the log is cut';
+    const cause =
+      'no outcome logged: the host terminated, or the log is incomplete';
     return {...common, outcome: 'unfinished', cause};
   }
   const outcome = end.members.get('outcome') ?? NONE;
@@ -60,19 +61,19 @@
   if (Number(end.members.get('late_ms') ?? 0) <= 0) {
     return {...common, outcome: 'served', cause: ''};
   }
-  return {...common, outcome: 'late', cause: findDelay(lines)};
+  return {...common, outcome: 'late', cause: findDelayCause(lines)};
 }
 
-/** Tells what made an answer late, as far as the host saw it. */
-function findDelay(lines: readonly LogLine[]): string {
+/** Returns why a response was late, as far as the host logged it. */
+function findDelayCause(lines: readonly LogLine[]): string {
   const failure = lines.find(({event}) => event === 'attempt_failed');
   if (failure !== undefined) {
     const {members} = failure;
     const detail = stripServer(members.get('detail') ?? '');
-    return `asked again after ${members.get('kind') ?? NONE}: ${detail}`;
+    return `retried after ${members.get('kind') ?? NONE}: ${detail}`;
   }
   if (lines.some(({event}) => event === 'relocated')) {
-    return 'moved off a server that left';
+    return 'moved off a server that was leaving';
   }
   const route = lines.find(({event}) => event === 'route');
   const predictedMs = Number(route?.members.get('predicted_ms') ?? 0);
@@ -81,8 +82,8 @@
     return 'slower than predicted';
   }
   return route?.members.has('withheld') === true
-    ? 'late by its prediction: limits of other servers used up'
-    : 'late by its prediction: servers busy';
+    ? 'predicted to miss the target: limits of other servers used up'
+    : 'predicted to miss the target: servers busy';
 }
 
 function findMember(lines: readonly LogLine[], key: string): string {
@@ -95,7 +96,7 @@
   return NONE;
 }
 
-/** Details begin with the server that failed; causes are counted without it. */
+/** Removes the name of the failed server, so that equal causes are counted together. */
 function stripServer(detail: string): string {
   return detail.replace(/^i-\S+: /, '');
 }
--- a/src/explain/count_losses.ts
+++ b/src/explain/count_losses.ts
@@ -1,6 +1,6 @@
-import {RequestVerdict} from './judge_request.js';
+import {ClassifiedRequest} from './classify_request.js';
 
-/** What losses can be grouped by. */
+/** Properties by which losses can be grouped. */
 export const LossGroup = {
   CAUSE: 'cause',
   ROUTE: 'route',
@@ -11,7 +11,7 @@
 } as const;
 export type LossGroup = (typeof LossGroup)[keyof typeof LossGroup];
 
-/** Requests of one group by what became of them; they add up to `asked`. */
+/** Number of requests of one group by outcome; the outcomes add up to `asked`. */
 export interface LossCount {
   readonly group: string;
   readonly asked: number;
@@ -32,31 +32,31 @@
 };
 
 /**
- * Counts what became of requests.
- * @param verdicts - The requests.
- * @param getGroup - Names the group of a request.
- * @returns A row a group, most losses first, and their sum as the last.
+ * Counts requests by group and outcome.
+ * @param requests - Requests to count.
+ * @param getGroup - Returns the name of a request's group.
+ * @returns One row per group, most losses first, and a last row with the totals.
  */
 export function countLosses(
-  verdicts: readonly RequestVerdict[],
-  getGroup: (verdict: RequestVerdict) => string,
+  requests: readonly ClassifiedRequest[],
+  getGroup: (request: ClassifiedRequest) => string,
 ): LossCount[] {
   const counts = new Map<string, LossCount>();
   let all: LossCount = {group: 'all', ...ZERO};
-  for (const verdict of verdicts) {
-    const group = getGroup(verdict);
+  for (const request of requests) {
+    const group = getGroup(request);
     const count = counts.get(group) ?? {group, ...ZERO};
-    counts.set(group, addTo(count, verdict));
-    all = addTo(all, verdict);
+    counts.set(group, addTo(count, request));
+    all = addTo(all, request);
   }
-  const rows = [...counts.values()].sort((a, b) => getLost(b) - getLost(a));
+  const rows = [...counts.values()].sort((a, b) => countLost(b) - countLost(a));
   return [...rows, all];
 }
 
-function addTo(count: LossCount, {outcome}: RequestVerdict): LossCount {
+function addTo(count: LossCount, {outcome}: ClassifiedRequest): LossCount {
   return {...count, asked: count.asked + 1, [outcome]: count[outcome] + 1};
 }
 
-function getLost({asked, served}: LossCount): number {
+function countLost({asked, served}: LossCount): number {
   return asked - served;
 }
--- a/src/explain/log_line.ts
+++ b/src/explain/log_line.ts
@@ -1,24 +1,23 @@
-/** A line that a host has logged. */
+/** A parsed log line of a host. */
 export interface LogLine {
-  /** Unix milliseconds, by the host's time of day. */
+  /** Time by the host's wall clock, in Unix milliseconds. */
   readonly atMs: number;
   readonly event: string;
   readonly members: ReadonlyMap<string, string>;
-  /** The line as it stands, from its time on. */
+  /** The raw line, from its `time=` field on. */
   readonly text: string;
 }
 
-const START = 'time=';
+const TIME_KEY = 'time=';
 const PAIR = /(\w+)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
 /**
- * Reads a line of key=value pairs; what a collector of logs put before the time
- * is left out.
+ * Parses a line of key=value pairs. A prefix added by a log collector is ignored.
  * @param text - One line.
- * @returns Nothing where the line is none of a host's.
+ * @returns The line, or `undefined` if a host did not log it.
  */
 export function parseLogLine(text: string): LogLine | undefined {
-  const start = text.indexOf(START);
+  const start = text.indexOf(TIME_KEY);
   if (start < 0) {
     return undefined;
   }
--- a/src/explain/request_histories.ts
+++ b/src/explain/request_histories.ts
@@ -3,12 +3,12 @@
 
 const UNKNOWN = 'unknown';
 
-/** Puts log lines of any hosts together by request. */
+/** Groups log lines of any number of hosts by request. */
 export class RequestHistories {
   private readonly histories = new Map<string, LogLine[]>();
   private readonly dataCentres = new Map<string, string>();
 
-  /** Takes in a line; the lines of one host come in their order. */
+  /** Adds a line; the lines of each host must be added in log order. */
   add(line: LogLine): void {
     const host = getHost(line);
     const dataCentre = line.members.get('data_centre');
@@ -25,12 +25,12 @@
     this.histories.set(key, lines);
   }
 
-  /** Returns the data centre of a host whose start was logged. */
+  /** Returns the data centre of a host, or `unknown` if no line logs its start. */
   getDataCentre(host: string): string {
     return this.dataCentres.get(host) ?? UNKNOWN;
   }
 
-  /** Lists every request, or those with one id, in the order they came. */
+  /** Lists all requests, or those with an id, in the order of their first lines. */
   list(id?: string): RequestHistory[] {
     const listed: RequestHistory[] = [];
     for (const lines of this.histories.values()) {
--- a/src/explain/request_history.ts
+++ b/src/explain/request_history.ts
@@ -1,6 +1,6 @@
 import {LogLine} from './log_line.js';
 
-/** All that one host logged of one request, in its order. */
+/** All lines that one host logged about one request, in log order. */
 export interface RequestHistory {
   readonly id: string;
   readonly host: string;
--- a/test/explain/explain_test.ts
+++ b/test/explain/explain_test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {
+  classifyRequest,
   countLosses,
-  judgeRequest,
   parseLogLine,
   RequestHistories,
 } from '../../src/explain/index.js';
@@ -34,7 +34,7 @@
   }
 
   describe('parseLogLine', () => {
-    it('reads quoted values, and leaves out what a collector put before', () => {
+    it('parses quoted values, and ignores the prefix of a log collector', () => {
       const line = parseLogLine(
         '  12.5 host-1 time=2030-01-01T00:00:04.100Z event=x detail="a \\"b\\" c" n=1',
       );
@@ -43,7 +43,7 @@
       expect(line?.members.get('n')).to.equal('1');
     });
 
-    it('takes no other line for a host’s', () => {
+    it('ignores lines that no host logged', () => {
       for (const text of [
         '',
         'event=x',
@@ -55,62 +55,69 @@
     });
   });
 
-  it('tells what became of each request, and why', () => {
-    const verdicts = read(LINES).list().map(judgeRequest);
+  it('determines the outcome of each request, and its cause', () => {
+    const requests = read(LINES).list().map(classifyRequest);
     expect(
-      verdicts.map(({id, outcome, cause}) => [id, outcome, cause]),
+      requests.map(({id, outcome, cause}) => [id, outcome, cause]),
     ).to.deep.equal([
       ['r1', 'served', ''],
-      ['r2', 'late', 'late by its prediction: servers busy'],
+      ['r2', 'late', 'predicted to miss the target: servers busy'],
       ['r3', 'refused', 'customer-over-rate'],
-      ['r4', 'late', 'asked again after lost: read ECONNRESET'],
+      ['r4', 'late', 'retried after lost: read ECONNRESET'],
       ['r5', 'failed', 'server-lost: cancelled'],
-      ['r6', 'unfinished', 'no end logged: the host ended, or the log is cut'],
+      [
+        'r6',
+        'unfinished',
+        'no outcome logged: the host terminated, or the log is incomplete',
+      ],
     ]);
   });
 
-  describe('a request at servers of several versions', () => {
-    const LINES_OF_VERSIONS = [
+  describe('a request sent to servers of several versions', () => {
+    const MULTI_VERSION_LINES = [
       'time=2030-01-01T00:00:01.000Z level=info event=route host=h1 request=r1 route=chat attempt=0 server=i-1 version=v1',
       'time=2030-01-01T00:00:01.100Z level=info event=route host=h1 request=r1 route=chat attempt=1 server=i-2 version=v2',
       'time=2030-01-01T00:00:01.200Z level=info event=relayed host=h1 request=r1 route=chat outcome=server-status-500 attempts=2 detail="i-2: status 500"',
       'time=2030-01-01T00:00:02.000Z level=info event=refused host=h1 request=r2 route=chat reason=customer-over-rate ran=no',
     ];
 
-    it('counts for the version that it was sent to last', () => {
-      const verdicts = read(LINES_OF_VERSIONS).list().map(judgeRequest);
-      expect(verdicts.map(({version}) => version)).to.deep.equal([
+    it('is counted for the version it was last sent to', () => {
+      const requests = read(MULTI_VERSION_LINES).list().map(classifyRequest);
+      expect(requests.map(({version}) => version)).to.deep.equal([
         'v2',
         'none',
       ]);
-      const [first] = countLosses(verdicts, ({version}) => version);
+      const [first] = countLosses(requests, ({version}) => version);
       expect(first?.group).to.equal('v2');
       expect(first?.failed).to.equal(1);
     });
   });
 
-  describe('a request that limits of servers kept away', () => {
-    it('is told apart, refused or sent elsewhere', () => {
-      const verdicts = read([
+  describe('a request with servers excluded because of their limits', () => {
+    it('has that as its cause, whether refused or sent to another server', () => {
+      const requests = read([
         'time=2030-01-01T00:00:01.000Z level=info event=route host=h1 request=r1 route=chat attempt=0 withheld=i-1,i-2 reason=no-server',
         'time=2030-01-01T00:00:01.000Z level=info event=relayed host=h1 request=r1 route=chat outcome=service-limited attempts=1 detail="limits of servers used up"',
         'time=2030-01-01T00:00:02.000Z level=info event=route host=h1 request=r2 route=chat attempt=0 server=i-3 withheld=i-1 target_ms=300 predicted_ms=700',
         'time=2030-01-01T00:00:02.900Z level=info event=relayed host=h1 request=r2 route=chat outcome=answered attempts=1 late_ms=500',
       ])
         .list()
-        .map(judgeRequest);
+        .map(classifyRequest);
       expect(
-        verdicts.map(({outcome, cause}) => [outcome, cause]),
+        requests.map(({outcome, cause}) => [outcome, cause]),
       ).to.deep.equal([
         ['refused', 'service-limited: limits of servers used up'],
-        ['late', 'late by its prediction: limits of other servers used up'],
+        [
+          'late',
+          'predicted to miss the target: limits of other servers used up',
+        ],
       ]);
     });
   });
 
-  it('counts losses so that they add up', () => {
-    const verdicts = read(LINES).list().map(judgeRequest);
-    const rows = countLosses(verdicts, ({route}) => route);
+  it('counts outcomes that add up to the number of requests', () => {
+    const requests = read(LINES).list().map(classifyRequest);
+    const rows = countLosses(requests, ({route}) => route);
     expect(
       rows.map(({group, asked, served}) => [group, asked, served]),
     ).to.deep.equal([
@@ -124,7 +131,7 @@
     }
   });
 
-  it('finds the lines of one request, and the data centre of its host', () => {
+  it('lists the lines of one request, and returns the data centre of its host', () => {
     const histories = read(LINES);
     const [found] = histories.list('r4');
     expect(found?.lines).to.have.length(3);
