--- a/src/cli/exit_code.ts
+++ b/src/cli/exit_code.ts
@@ -5,7 +5,7 @@
   FAILED: 1,
   /** The command line is invalid, or a file cannot be read. */
   USAGE: 2,
-  /** The record is invalid. */
+  /** A record is invalid, or its file cannot be parsed. */
   INVALID: 3,
   /** The record was modified by another change since it was read. */
   CONFLICT: 4,
