--- a/src/limits/server_limits.ts
+++ b/src/limits/server_limits.ts
@@ -75,12 +75,12 @@
     this.demand = new RankDemand(clock);
     metrics.addGauge(
       'servers_limited',
-      'Servers that state a limit of requests per second',
+      'Servers that name a limit of requests a second',
       () => this.countLimited(),
     );
     metrics.addCounter(
       'limit_refused',
-      'Requests refused because every server of a service is rate limited',
+      'Requests refused since every server of a service limits what it takes',
     );
   }
 
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -44,10 +44,13 @@
   private version = 0;
 
   constructor(private readonly options: QuarantineOptions) {
-    options.metrics.addCounter('quarantined', 'Contents that were blocked');
+    options.metrics.addCounter(
+      'quarantined',
+      'Contents that were kept away from servers',
+    );
     options.metrics.addGauge(
       'quarantine_suspects',
-      'Contents under which servers have terminated',
+      'Contents under which servers have ended',
       () => this.suspects.size,
     );
   }
