--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,75 +1,75 @@
 import {Agent, request as openRequest} from 'node:http';
 import {Random} from '../../src/random/index.js';
-import {History, RequestKind, Sending} from './history.js';
+import {History, RequestKind, SentRequest} from './history.js';
 import {SoakHost} from './soak_host.js';
 import {
   CUSTOMER,
   HOST_NAME,
   KEY,
-  PRESSING_CUSTOMER,
-  PRESSING_KEY,
+  LOW_RATE_CUSTOMER,
+  LOW_RATE_KEY,
   SoakSystem,
   wait,
 } from './soak_system.js';
 
-/** How callers behave now; each may be switched while they run. */
+/** Behaviour of the callers; each flag may be switched during a run. */
 export interface CallerFaults {
-  /** Whether those of one customer send far more than it may. */
-  press: boolean;
-  /** Whether some leave before they have their answer. */
-  leave: boolean;
-  /** Whether one sends the request that ends servers. */
-  endServers: boolean;
+  /** Whether one caller sends far more requests than the rate of its customer allows. */
+  exceedRate: boolean;
+  /** Whether callers abandon some of their requests before the answer arrives. */
+  abandonRequests: boolean;
+  /** Whether one caller sends the request that crashes servers. */
+  crashServers: boolean;
 }
 
 const OK = 200;
 const DEADLINE_MS = 2500;
 const PAUSE_MS = 60;
-const PRESS_PAUSE_MS = 8;
-const ENDING_PAUSE_MS = 150;
-const LEAVE_MS = 25;
-const LEAVE_SHARE = 0.3;
-/** Share of a caller's requests that look for a route that a change added. */
+const OVER_RATE_PAUSE_MS = 8;
+const CRASHING_PAUSE_MS = 150;
+const ABANDON_AFTER_MS = 25;
+const ABANDON_SHARE = 0.3;
+/** Share of requests that probe a route which a configuration change added. */
 const PROBE_SHARE = 0.15;
 
-/** What one caller sends. */
-interface Wanted {
+/** A request that a caller is about to send. */
+interface OutgoingRequest {
   readonly kind: RequestKind;
   readonly path: string;
   readonly body: string;
   readonly key: string;
   readonly customer: string;
-  readonly leaveMs: number | undefined;
+  readonly abandonAfterMs: number | undefined;
 }
 
-/** What a caller works with. */
+/** Dependencies of a caller. */
 interface CallerOptions {
-  /** Returns the hosts that a new channel may go to. */
+  /** Returns the hosts to which a new connection may be opened. */
   readonly listHosts: () => readonly SoakHost[];
   readonly getNowMs: () => number;
   readonly history: History;
   readonly random: Random;
 }
 
-/** One caller: it keeps its channel for as long as the host does. */
+/** A caller. It keeps one connection to one host for as long as the host keeps it open. */
 class Caller {
   private host: SoakHost | undefined;
   private agent = new Agent({keepAlive: true, maxSockets: 1});
 
   constructor(private readonly options: CallerOptions) {}
 
-  /** Sends one request to its end. */
-  async send(wanted: Wanted, id: string): Promise<Sending> {
+  /** Sends one request; resolves once the exchange has ended. */
+  async send(outgoing: OutgoingRequest, id: string): Promise<SentRequest> {
     const {history, getNowMs} = this.options;
     const host = this.chooseHost();
-    const sending: Sending = {
+    const sent: SentRequest = {
       id,
-      kind: wanted.kind,
-      path: wanted.path,
-      body: wanted.body,
-      customer: wanted.customer,
+      kind: outgoing.kind,
+      path: outgoing.path,
+      body: outgoing.body,
+      customer: outgoing.customer,
       host: host.options.name,
-      start: host.starts,
+      start: host.incarnation,
       sentMs: getNowMs(),
       endMs: 0,
       status: 0,
@@ -78,17 +78,17 @@
       signed: false,
       retryAfter: undefined,
     };
-    history.sendings.push(sending);
-    const keeps = await this.exchange(host, wanted, sending);
-    sending.endMs = getNowMs();
-    if (!keeps) {
-      this.leaveHost();
+    history.sendings.push(sent);
+    const canReuse = await this.exchange(host, outgoing, sent);
+    sent.endMs = getNowMs();
+    if (!canReuse) {
+      this.disconnect();
     }
-    return sending;
+    return sent;
   }
 
-  /** Lets go of its channel. */
-  leaveHost(): void {
+  /** Closes the connection; the next request chooses a host again. */
+  disconnect(): void {
     this.host = undefined;
     this.agent.destroy();
     this.agent = new Agent({keepAlive: true, maxSockets: 1});
@@ -96,19 +96,19 @@
 
   private chooseHost(): SoakHost {
     const {listHosts, random} = this.options;
-    const usable = listHosts();
-    this.host ??= usable[Math.floor(random.next() * usable.length)];
+    const candidates = listHosts();
+    this.host ??= candidates[Math.floor(random.next() * candidates.length)];
     if (this.host === undefined) {
-      throw new Error('there is no host to send to');
+      throw new Error('cannot send the request: no host is available');
     }
     return this.host;
   }
 
-  /** Exchanges a request; returns whether the channel may be kept. */
+  /** Sends a request and records its answer; returns whether the connection can be reused. */
   private exchange(
     host: SoakHost,
-    wanted: Wanted,
-    sending: Sending,
+    outgoing: OutgoingRequest,
+    sent: SentRequest,
   ): Promise<boolean> {
     const [address, port] = host.callers.split(':');
     return new Promise(resolve => {
@@ -117,49 +117,50 @@
         port,
         agent: this.agent,
         method: 'POST',
-        path: wanted.path,
+        path: outgoing.path,
         headers: {
           Host: HOST_NAME,
-          'Request-Id': sending.id,
-          Credential: wanted.key,
+          'Request-Id': sent.id,
+          Credential: outgoing.key,
           'Deadline-Remaining': String(DEADLINE_MS),
-          'Content-Length': String(wanted.body.length),
+          'Content-Length': String(outgoing.body.length),
         },
       });
-      const timer = setTimeout(() => request.destroy(), DEADLINE_MS);
-      const leaving =
-        wanted.leaveMs === undefined
+      const deadlineTimer = setTimeout(() => request.destroy(), DEADLINE_MS);
+      const abandonTimer =
+        outgoing.abandonAfterMs === undefined
           ? undefined
-          : setTimeout(() => request.destroy(), wanted.leaveMs);
-      const settle = (keeps: boolean) => {
-        clearTimeout(timer);
-        clearTimeout(leaving);
-        resolve(keeps);
+          : setTimeout(() => request.destroy(), outgoing.abandonAfterMs);
+      const settle = (canReuse: boolean) => {
+        clearTimeout(deadlineTimer);
+        clearTimeout(abandonTimer);
+        resolve(canReuse);
       };
       request.on('error', () => settle(false));
       request.on('response', response => {
-        sending.status = response.statusCode ?? 0;
-        sending.signed = response.headers['server-signature'] !== undefined;
-        const after = response.headers['retry-after'];
-        sending.retryAfter = after === undefined ? undefined : Number(after);
-        response.on('data', piece => (sending.answer += String(piece)));
+        sent.status = response.statusCode ?? 0;
+        sent.signed = response.headers['server-signature'] !== undefined;
+        const retryAfterHeader = response.headers['retry-after'];
+        sent.retryAfter =
+          retryAfterHeader === undefined ? undefined : Number(retryAfterHeader);
+        response.on('data', chunk => (sent.answer += String(chunk)));
         response.on('error', () => undefined);
         response.on('close', () => {
-          sending.whole = response.complete;
+          sent.whole = response.complete;
           settle(response.complete && response.headers.connection !== 'close');
         });
       });
-      request.end(wanted.body);
+      request.end(outgoing.body);
     });
   }
 }
 
-/** Everybody who sends requests in a run. */
+/** All callers of a run. */
 export class Callers {
   readonly faults: CallerFaults = {
-    press: false,
-    leave: false,
-    endServers: false,
+    exceedRate: false,
+    abandonRequests: false,
+    crashServers: false,
   };
   private stopped = false;
   private sent = 0;
@@ -171,41 +172,48 @@
     private readonly random: Random,
   ) {}
 
-  /** Starts as many callers, and the two that only act while they are told to. */
+  /**
+   * Starts a number of callers, and two more that send only while their flag is set: one
+   * exceeds the rate of its customer, the other sends the request that crashes servers.
+   */
   start(count: number): void {
     for (let index = 0; index < count; index++) {
-      this.running.push(this.callOn(() => this.drawRequest(), PAUSE_MS));
+      this.running.push(
+        this.sendRepeatedly(() => this.drawRequest(), PAUSE_MS),
+      );
     }
     this.running.push(
-      this.callOn(
-        () => (this.faults.press ? this.createPressing() : undefined),
-        PRESS_PAUSE_MS,
+      this.sendRepeatedly(
+        () =>
+          this.faults.exceedRate ? this.createOverRateRequest() : undefined,
+        OVER_RATE_PAUSE_MS,
       ),
-      this.callOn(
-        () => (this.faults.endServers ? this.createEnding() : undefined),
-        ENDING_PAUSE_MS,
+      this.sendRepeatedly(
+        () =>
+          this.faults.crashServers ? this.createCrashingRequest() : undefined,
+        CRASHING_PAUSE_MS,
       ),
     );
   }
 
-  /** Stops; returns once every request has its end. */
+  /** Stops sending; resolves once every request has ended. */
   async stop(): Promise<void> {
     this.stopped = true;
     await Promise.all(this.running);
   }
 
-  /** Asks every host some times, with a channel each; counts what is served. */
-  async askAll(times: number): Promise<void> {
+  /** Sends requests to every host, over one connection each, and counts those served. */
+  async probeHosts(countPerHost: number): Promise<void> {
     const {recovery} = this.history;
     for (const host of this.system.hosts) {
       const caller = this.createCaller(() => [host]);
-      for (let time = 0; time < times; time++) {
-        const wanted = this.create(RequestKind.REPEATABLE, '/i/x');
-        const {status} = await caller.send(wanted, this.createId());
+      for (let probe = 0; probe < countPerHost; probe++) {
+        const outgoing = this.createRequest(RequestKind.REPEATABLE, '/i/x');
+        const {status} = await caller.send(outgoing, this.createId());
         recovery.asked++;
         recovery.served += status === OK ? 1 : 0;
       }
-      caller.leaveHost();
+      caller.disconnect();
     }
   }
 
@@ -215,65 +223,66 @@
     return new Caller({listHosts, getNowMs, history, random});
   }
 
-  private async callOn(
-    draw: () => Wanted | undefined,
+  private async sendRepeatedly(
+    draw: () => OutgoingRequest | undefined,
     pauseMs: number,
   ): Promise<void> {
     const caller = this.createCaller(() => this.system.listInRotation());
     while (!this.stopped) {
-      const wanted = draw();
-      if (wanted !== undefined) {
-        await caller.send(wanted, this.createId());
+      const outgoing = draw();
+      if (outgoing !== undefined) {
+        await caller.send(outgoing, this.createId());
       }
       await wait(pauseMs * (0.5 + this.random.next()));
     }
-    caller.leaveHost();
+    caller.disconnect();
   }
 
   private createId(): string {
     return `r${++this.sent}`;
   }
 
-  private drawRequest(): Wanted {
-    const drawn = this.random.next();
-    if (drawn < PROBE_SHARE) {
+  private drawRequest(): OutgoingRequest {
+    const sample = this.random.next();
+    if (sample < PROBE_SHARE) {
       const routes = this.system.listExtraRoutes();
       const route = routes[Math.floor(this.random.next() * routes.length)];
-      return this.create(RequestKind.REPEATABLE, route ?? '/i/');
+      return this.createRequest(RequestKind.REPEATABLE, route ?? '/i/');
     }
-    if (drawn < 0.45) {
-      return this.create(RequestKind.ONCE, '/o/x');
+    if (sample < 0.45) {
+      return this.createRequest(RequestKind.ONCE, '/o/x');
     }
-    return drawn < 0.75
-      ? this.create(RequestKind.REPEATABLE, '/i/x')
-      : this.create(RequestKind.STREAM, '/s/x');
+    return sample < 0.75
+      ? this.createRequest(RequestKind.REPEATABLE, '/i/x')
+      : this.createRequest(RequestKind.STREAM, '/s/x');
   }
 
-  private create(kind: RequestKind, path: string): Wanted {
-    const leaves = this.faults.leave && this.random.next() < LEAVE_SHARE;
+  private createRequest(kind: RequestKind, path: string): OutgoingRequest {
+    const isAbandoned =
+      this.faults.abandonRequests && this.random.next() < ABANDON_SHARE;
     return {
       kind,
       path,
       body: `body ${this.sent}`,
       key: KEY,
       customer: CUSTOMER,
-      leaveMs: leaves ? LEAVE_MS : undefined,
+      abandonAfterMs: isAbandoned ? ABANDON_AFTER_MS : undefined,
     };
   }
 
-  private createPressing(): Wanted {
+  private createOverRateRequest(): OutgoingRequest {
     return {
-      ...this.create(RequestKind.REPEATABLE, '/i/press'),
-      key: PRESSING_KEY,
-      customer: PRESSING_CUSTOMER,
+      ...this.createRequest(RequestKind.REPEATABLE, '/i/press'),
+      key: LOW_RATE_KEY,
+      customer: LOW_RATE_CUSTOMER,
     };
   }
 
-  private createEnding(): Wanted {
+  private createCrashingRequest(): OutgoingRequest {
     return {
-      ...this.create(RequestKind.REPEATABLE, '/i/end'),
+      ...this.createRequest(RequestKind.REPEATABLE, '/i/end'),
       body: this.history.endingBody,
-      leaveMs: undefined,
+      abandonAfterMs: undefined,
     };
   }
 }
--- a/test/soak/checks.ts
+++ b/test/soak/checks.ts
@@ -6,75 +6,98 @@
   findLowerFences,
 } from './find_excess.js';
 import {
-  findEnding,
+  findRepeatedCrashingRequests,
   findLateChanges,
-  findLosses,
-  findNoRecovery,
-  findStepsBack,
+  findRequestsCutByStops,
+  findIncompleteRecovery,
+  findConfigurationRollbacks,
 } from './find_late.js';
-import {findLateWork} from './find_late_work.js';
+import {findLateArrivals} from './find_late_arrivals.js';
 import {
-  findDisorder,
-  findDoubled,
+  findDisorderedEvents,
+  findRepeatedRuns,
   findFalseRefusals,
-  findForeignAnswers,
-  findUnasked,
-  findUnlogged,
+  findMismatchedAnswers,
+  findUnsentRequests,
+  findUnloggedOutcomes,
 } from './find_wrong_answers.js';
 import {History} from './history.js';
 
-/** A promise that did not hold. */
+/** A guarantee that did not hold. */
 export interface Violation {
   readonly check: string;
   readonly detail: string;
 }
 
-/** Finds where a promise did not hold. */
-type Find = (history: History) => Iterable<string>;
+/** Describes each case in which a guarantee did not hold. */
+type ViolationFinder = (history: History) => Iterable<string>;
 
-/** A promise, judged by what callers, servers, store and cloud saw. */
+/** A guarantee, checked against what callers, servers, store and cloud observed. */
 export interface Check {
   readonly name: string;
-  /** Whether it has a bound of time, which a busy machine can break. */
-  readonly timely: boolean;
-  readonly find: Find;
+  /** Whether it depends on a time bound, which a busy machine can exceed. */
+  readonly hasTimeBound: boolean;
+  readonly find: ViolationFinder;
 }
 
-/** Every check of a run. */
+/** All checks of a run. */
 export const CHECKS: readonly Check[] = [
-  {name: 'at most once', timely: false, find: findDoubled},
-  {name: 'true refusals', timely: false, find: findFalseRefusals},
-  {name: 'own whole answers', timely: false, find: findForeignAnswers},
-  {name: 'events once and in order', timely: false, find: findDisorder},
-  {name: 'nothing unasked', timely: false, find: findUnasked},
-  {name: 'retry budget', timely: false, find: findExcessRetries},
-  {name: 'quota', timely: false, find: findExcessUnits},
-  {name: 'counts decided once', timely: false, find: findChangedCounts},
-  {name: 'fences never lower', timely: false, find: findLowerFences},
-  {name: 'configuration never back', timely: false, find: findStepsBack},
+  {name: 'at most once', hasTimeBound: false, find: findRepeatedRuns},
+  {name: 'true refusals', hasTimeBound: false, find: findFalseRefusals},
+  {name: 'own whole answers', hasTimeBound: false, find: findMismatchedAnswers},
+  {
+    name: 'events once and in order',
+    hasTimeBound: false,
+    find: findDisorderedEvents,
+  },
+  {name: 'nothing unasked', hasTimeBound: false, find: findUnsentRequests},
+  {name: 'retry budget', hasTimeBound: false, find: findExcessRetries},
+  {name: 'quota', hasTimeBound: false, find: findExcessUnits},
+  {name: 'counts decided once', hasTimeBound: false, find: findChangedCounts},
+  {name: 'fences never lower', hasTimeBound: false, find: findLowerFences},
+  {
+    name: 'configuration never back',
+    hasTimeBound: false,
+    find: findConfigurationRollbacks,
+  },
   {
     name: 'no exits of its own',
-    timely: false,
+    hasTimeBound: false,
     find: history => history.ownExits,
   },
-  {name: 'ends in the logs', timely: false, find: findUnlogged},
-  {name: 'configuration in time', timely: true, find: findLateChanges},
-  {name: 'leaving servers get nothing', timely: true, find: findLateWork},
-  {name: 'planned stops lose nothing', timely: true, find: findLosses},
-  {name: 'requests that end servers', timely: true, find: findEnding},
-  {name: 'limits of servers', timely: true, find: findExcessAtLimits},
-  {name: 'recovery', timely: true, find: findNoRecovery},
+  {name: 'ends in the logs', hasTimeBound: false, find: findUnloggedOutcomes},
+  {name: 'configuration in time', hasTimeBound: true, find: findLateChanges},
+  {
+    name: 'leaving servers get nothing',
+    hasTimeBound: true,
+    find: findLateArrivals,
+  },
+  {
+    name: 'planned stops lose nothing',
+    hasTimeBound: true,
+    find: findRequestsCutByStops,
+  },
+  {
+    name: 'requests that end servers',
+    hasTimeBound: true,
+    find: findRepeatedCrashingRequests,
+  },
+  {name: 'limits of servers', hasTimeBound: true, find: findExcessAtLimits},
+  {name: 'recovery', hasTimeBound: true, find: findIncompleteRecovery},
 ];
 
 /**
- * Judges a run.
- * @param history - What was seen.
- * @param timely - Whether bounds of time are judged, too.
+ * Checks a run.
+ * @param history - What was observed.
+ * @param checkTimeBounds - Whether checks that depend on a time bound are included.
  */
-export function judge(history: History, timely: boolean): Violation[] {
+export function findViolations(
+  history: History,
+  checkTimeBounds: boolean,
+): Violation[] {
   const violations: Violation[] = [];
   for (const check of CHECKS) {
-    if (check.timely && !timely) {
+    if (check.hasTimeBound && !checkTimeBounds) {
       continue;
     }
     for (const detail of check.find(history)) {
--- a/test/soak/checks_test.ts
+++ b/test/soak/checks_test.ts
@@ -1,18 +1,18 @@
 import {expect} from 'chai';
-import {CHECKS, judge} from './checks.js';
+import {CHECKS, findViolations} from './checks.js';
 import {
   Arrival,
   createHistory,
   FaultSpan,
   History,
   RequestKind,
-  Sending,
+  SentRequest,
 } from './history.js';
 
-const ENDING = 'ends servers';
+const CRASHING_BODY = 'ends servers';
 const SERVER = 'i-1@1';
 
-function createBase(): History {
+function createTestHistory(): History {
   return createHistory(
     {
       contactMs: 3000,
@@ -27,11 +27,11 @@
       quotaSlack: 0,
       rates: new Map([['press', [1, 0]]]),
     },
-    ENDING,
+    CRASHING_BODY,
   );
 }
 
-function createSending(overrides: Partial<Sending> = {}): Sending {
+function createSentRequest(overrides: Partial<SentRequest> = {}): SentRequest {
   const id = overrides.id ?? 'r1';
   return {
     id,
@@ -70,7 +70,7 @@
   };
 }
 
-function createStop(overrides: Partial<FaultSpan> = {}): FaultSpan {
+function createFault(overrides: Partial<FaultSpan> = {}): FaultSpan {
   return {
     kind: 'host-stop',
     target: 'front-0',
@@ -81,8 +81,8 @@
   };
 }
 
-/** Changes a history in order so that one promise is broken in it. */
-const BREAKS = new Map<string, (history: History) => void>([
+/** Changes to a correct history that each violate one guarantee, by name of the check. */
+const VIOLATING_CHANGES = new Map<string, (history: History) => void>([
   [
     'at most once',
     ({arrivals}) => {
@@ -188,7 +188,7 @@
   [
     'planned stops lose nothing',
     history => {
-      history.faults.push(createStop());
+      history.faults.push(createFault());
       Object.assign(history.sendings[0] ?? {}, {status: 0, answer: ''});
     },
   ],
@@ -197,7 +197,10 @@
     history => {
       history.endsMs.push(1000, 2000, 3000);
       for (const id of ['r2', 'r3', 'r4', 'r5']) {
-        addRequest(history, id, {body: ENDING, kind: RequestKind.REPEATABLE});
+        addRequest(history, id, {
+          body: CRASHING_BODY,
+          kind: RequestKind.REPEATABLE,
+        });
       }
     },
   ],
@@ -212,7 +215,7 @@
       });
       for (let count = 0; count < 12; count++) {
         const id = `l${count}`;
-        history.sendings.push(createSending({id}));
+        history.sendings.push(createSentRequest({id}));
         history.arrivals.push(createArrival({id, atMs: 11_000 + count}));
       }
     },
@@ -226,8 +229,8 @@
   ],
 ]);
 
-function createStoreFault(): FaultSpan {
-  return createStop({
+function createStoreBusyFault(): FaultSpan {
+  return createFault({
     kind: 'store-busy',
     target: '',
     planned: false,
@@ -240,10 +243,10 @@
 function addRequest(
   history: History,
   id: string,
-  overrides: Partial<Sending> = {},
+  overrides: Partial<SentRequest> = {},
 ): void {
   const {body = 'body', customer = 'guild', path = '/o/x'} = overrides;
-  history.sendings.push(createSending({id, ...overrides}));
+  history.sendings.push(createSentRequest({id, ...overrides}));
   history.arrivals.push(createArrival({id, body, customer, path}));
 }
 
@@ -263,56 +266,56 @@
   addRequest(history, id, {kind, path, sentMs, endMs, status});
 }
 
-describe('checks of the soak', () => {
-  it('find nothing in a history in order', () => {
-    const history = createBase();
+describe('soak checks', () => {
+  it('report nothing for a correct history', () => {
+    const history = createTestHistory();
     addRequest(history, 'r1');
-    expect(judge(history, true)).to.deep.equal([]);
+    expect(findViolations(history, true)).to.deep.equal([]);
   });
 
   for (const {name} of CHECKS) {
-    it(`find what breaks "${name}"`, () => {
-      const history = createBase();
+    it(`report a violation of "${name}"`, () => {
+      const history = createTestHistory();
       addRequest(history, 'r1');
-      BREAKS.get(name)?.(history);
-      const found = judge(history, true).map(({check}) => check);
+      VIOLATING_CHANGES.get(name)?.(history);
+      const found = findViolations(history, true).map(({check}) => check);
       expect(found).to.include(name);
     });
   }
 
-  it('leave out bounds of time where they are not judged', () => {
-    const history = createBase();
+  it('skip checks with time bounds if these are not requested', () => {
+    const history = createTestHistory();
     history.recovery = {asked: 10, served: 0};
-    expect(judge(history, false)).to.deep.equal([]);
+    expect(findViolations(history, false)).to.deep.equal([]);
   });
 
-  describe('allow what the rules allow', () => {
-    it('a request cut off by a stop that a kill overlaps', () => {
-      const history = createBase();
-      history.sendings.push(createSending({status: 0, answer: ''}));
+  describe('accept only excused violations:', () => {
+    it('a request cut off by a planned stop that overlaps a kill', () => {
+      const history = createTestHistory();
+      history.sendings.push(createSentRequest({status: 0, answer: ''}));
       history.faults.push(
-        createStop(),
-        createStop({kind: 'host-kill', planned: false}),
+        createFault(),
+        createFault({kind: 'host-kill', planned: false}),
       );
-      expect(judge(history, true)).to.deep.equal([]);
+      expect(findViolations(history, true)).to.deep.equal([]);
     });
 
     for (const [what, killedMs, allowed] of [
-      ['was killed', 11_500, true],
-      ['went on, and was killed long after', 13_500, false],
+      ['then killed', 11_500, true],
+      ['then resumed and killed much later', 13_500, false],
     ] as const) {
-      it(`${allowed ? '' : 'not '}an end that no line tells, of a host that stood still and ${what}`, () => {
-        const history = createBase();
+      it(`${allowed ? '' : 'not '}an unlogged outcome at a host that was frozen and ${what}`, () => {
+        const history = createTestHistory();
         addRequest(history, 'r1');
         history.logged.set('front-0', new Set());
         history.faults.push(
-          createStop({
+          createFault({
             kind: 'host-freeze',
             planned: false,
             fromMs: 10_080,
             toMs: 12_000,
           }),
-          createStop({
+          createFault({
             kind: 'all-killed',
             target: '',
             planned: false,
@@ -320,57 +323,57 @@
             toMs: killedMs + 10,
           }),
         );
-        const found = judge(history, true).map(({check}) => check);
+        const found = findViolations(history, true).map(({check}) => check);
         expect(found.includes('ends in the logs')).to.equal(!allowed);
       });
     }
 
-    it('a request to a server that left just before a store fault', () => {
-      const history = createBase();
+    it('a request to a server that started to leave just before a store fault', () => {
+      const history = createTestHistory();
       addRequest(history, 'r1');
       history.leavings.push({server: SERVER, atMs: 7000});
-      history.faults.push(createStoreFault());
-      expect(judge(history, true)).to.deep.equal([]);
+      history.faults.push(createStoreBusyFault());
+      expect(findViolations(history, true)).to.deep.equal([]);
     });
 
     it('not a request from a host that logged the leaving during a store fault', () => {
-      const history = createBase();
+      const history = createTestHistory();
       addRequest(history, 'r1');
       history.leavings.push({server: SERVER, atMs: 7000});
-      history.faults.push(createStoreFault());
+      history.faults.push(createStoreBusyFault());
       history.words.push({host: 'front-0', server: SERVER, atMs: 7100});
-      const found = judge(history, true).map(({check}) => check);
+      const found = findViolations(history, true).map(({check}) => check);
       expect(found).to.include('leaving servers get nothing');
     });
 
     it('not a request sent within the drain bound but forwarded after it', () => {
-      const history = createBase();
-      history.sendings.push(createSending({sentMs: 8500, endMs: 9600}));
+      const history = createTestHistory();
+      history.sendings.push(createSentRequest({sentMs: 8500, endMs: 9600}));
       history.arrivals.push(createArrival({atMs: 9500}));
       history.leavings.push({server: SERVER, atMs: 7000});
-      const found = judge(history, true).map(({check}) => check);
+      const found = findViolations(history, true).map(({check}) => check);
       expect(found).to.include('leaving servers get nothing');
     });
 
     it('not a late request from a host while only another host has a fault', () => {
-      const history = createBase();
+      const history = createTestHistory();
       addRequest(history, 'r1');
       history.leavings.push({server: SERVER, atMs: 7000});
       history.faults.push(
-        createStop({kind: 'host-freeze', target: 'front-1', planned: false}),
+        createFault({kind: 'host-freeze', target: 'front-1', planned: false}),
       );
-      const found = judge(history, true).map(({check}) => check);
+      const found = findViolations(history, true).map(({check}) => check);
       expect(found).to.include('leaving servers get nothing');
     });
 
-    it('an old configuration at a host that was just frozen', () => {
-      const history = createBase();
+    it('an outdated configuration at a host that was frozen shortly before', () => {
+      const history = createTestHistory();
       addChange(history);
       addProbe(history, 'r2', 7000, 404);
       history.faults.push(
-        createStop({kind: 'host-freeze', fromMs: 3000, toMs: 5000}),
+        createFault({kind: 'host-freeze', fromMs: 3000, toMs: 5000}),
       );
-      expect(judge(history, true)).to.deep.equal([]);
+      expect(findViolations(history, true)).to.deep.equal([]);
     });
   });
 });
--- a/test/soak/find_excess.ts
+++ b/test/soak/find_excess.ts
@@ -1,11 +1,11 @@
-/** What bounds over all hosts do not allow. */
+/** Checks of bounds that apply to all hosts together. */
 import {History} from './history.js';
-import {groupRuns, isStruck, isStruckBy} from './history_questions.js';
+import {groupRunsById, hadRecentFault, hadFault} from './history_queries.js';
 import {FaultKind} from './schedule.js';
 
 const MS_PER_SECOND = 1000;
 
-/** Yields the start of each span that ends with one of some times. */
+/** Yields, for each of the given times, the window that ends at it. */
 function* listWindows(
   timesMs: readonly number[],
   windowMs: number,
@@ -25,7 +25,7 @@
     }
     seen.add(id);
   }
-  const sentMs = history.sendings.map(sending => sending.sentMs);
+  const sentMs = history.sendings.map(sent => sent.sentMs);
   const count = (times: readonly number[], fromMs: number, toMs: number) =>
     times.filter(ms => ms > fromMs && ms <= toMs).length;
   for (const [fromMs, toMs] of listWindows(retriesMs, retryWindowMs)) {
@@ -35,7 +35,7 @@
     );
     const retries = count(retriesMs, fromMs, toMs);
     if (retries > retryRatio * requests + retrySlack) {
-      yield `${retries} retries of ${requests} requests until ${toMs} ms`;
+      yield `${retries} retries for ${requests} requests in the window until ${toMs} ms`;
       return;
     }
   }
@@ -43,18 +43,18 @@
 
 export function* findExcessUnits(history: History): Iterable<string> {
   const {rates, quotaWindowMs, quotaOverage, quotaSlack} = history.bounds;
-  const runs = groupRuns(history);
+  const runs = groupRunsById(history);
   for (const [customer, [rate, burst]] of rates) {
-    const firstMs = [...runs.values()]
+    const firstRunsMs = [...runs.values()]
       .filter(([first]) => first?.customer === customer)
       .map(([first]) => first?.atMs ?? 0)
       .sort((a, b) => a - b);
     const allowed =
       ((rate * quotaWindowMs) / 1000 + burst) * (1 + quotaOverage) + quotaSlack;
-    for (const [fromMs, toMs] of listWindows(firstMs, quotaWindowMs)) {
-      const units = firstMs.filter(ms => ms > fromMs && ms <= toMs).length;
+    for (const [fromMs, toMs] of listWindows(firstRunsMs, quotaWindowMs)) {
+      const units = firstRunsMs.filter(ms => ms > fromMs && ms <= toMs).length;
       if (units > allowed) {
-        yield `${customer}: ${units} of ${allowed} until ${toMs} ms`;
+        yield `${customer}: ${units} units, ${allowed} allowed, in the window until ${toMs} ms`;
         break;
       }
     }
@@ -66,27 +66,27 @@
   for (const {window, counts, holder} of history.duties) {
     const before = decided.get(window);
     if (before !== undefined && before !== counts) {
-      yield `window ${window}: ${before}, then ${counts} by ${holder}`;
+      yield `window ${window}: counts ${before}, then ${counts} from ${holder}`;
     }
     decided.set(window, counts);
   }
 }
 
-/** Span in which what a limited server gets is counted, in milliseconds. */
+/** Window over which the requests to a server with a limit are counted, in milliseconds. */
 const LIMIT_WINDOW_MS = 4000;
-/** Part of a limit that is allowed, and requests besides. */
-const LIMIT_SHARE = 1.5;
+/** A window may hold this multiple of the limit, plus a number of requests. */
+const LIMIT_TOLERANCE = 1.5;
 const LIMIT_SLACK = 5;
 
-/** Faults after which a host may not know of a limit. */
-const FORGETTING: ReadonlySet<string> = new Set([
+/** Faults after which a host may not know the limit of a server. */
+const LIMIT_LOSING_FAULTS: ReadonlySet<string> = new Set([
   FaultKind.ALL_KILLED,
   FaultKind.HOST_KILL,
   FaultKind.HOST_STOP,
   FaultKind.HOST_FREEZE,
 ]);
 
-/** Requests of a host that has just started, or was frozen, are left out. */
+/** Requests from hosts that have just started or were frozen are excluded. */
 export function* findExcessAtLimits(history: History): Iterable<string> {
   const {contactMs} = history.bounds;
   const hosts = new Map(history.sendings.map(({id, host}) => [id, host]));
@@ -97,29 +97,26 @@
           at === server &&
           atMs >= fromMs + contactMs &&
           atMs <= toMs &&
-          !mayHaveForgotten(history, hosts.get(id) ?? '', atMs),
+          !mayLackLimit(history, hosts.get(id) ?? '', atMs),
       )
       .map(({atMs}) => atMs);
     const allowed =
-      (LIMIT_SHARE * perSecond * LIMIT_WINDOW_MS) / MS_PER_SECOND + LIMIT_SLACK;
+      (LIMIT_TOLERANCE * perSecond * LIMIT_WINDOW_MS) / MS_PER_SECOND +
+      LIMIT_SLACK;
     for (const [startMs, endMs] of listWindows(timesMs, LIMIT_WINDOW_MS)) {
       const count = timesMs.filter(ms => ms > startMs && ms <= endMs).length;
       if (count > allowed) {
-        yield `${server} got ${count} requests in 4 s until ${endMs} ms`;
+        yield `${server} got ${count} requests in the 4 s until ${endMs} ms`;
         break;
       }
     }
   }
 }
 
-function mayHaveForgotten(
-  history: History,
-  host: string,
-  atMs: number,
-): boolean {
+function mayLackLimit(history: History, host: string, atMs: number): boolean {
   const fromMs = atMs - history.bounds.contactMs;
-  const isKind = (kind: string) => FORGETTING.has(kind);
-  return isStruckBy(history, host, isKind, fromMs, atMs);
+  const isKind = (kind: string) => LIMIT_LOSING_FAULTS.has(kind);
+  return hadFault(history, host, isKind, fromMs, atMs);
 }
 
 export function* findLowerFences(history: History): Iterable<string> {
@@ -131,7 +128,7 @@
       yield `${holder} and ${known} both used fence ${fence}`;
     }
     holders.set(fence, holder);
-    if (fence < highest && !isStruck(history, holder, atMs)) {
+    if (fence < highest && !hadRecentFault(history, holder, atMs)) {
       yield `${holder} used fence ${fence} after ${highest}`;
     }
     highest = Math.max(highest, fence);
--- a/test/soak/find_late.ts
+++ b/test/soak/find_late.ts
@@ -1,36 +1,41 @@
-/** What came too late, or not at all. */
-import {History, Sending} from './history.js';
-import {isStruck, overlaps} from './history_questions.js';
+/** Checks of configuration changes, planned stops, crashing requests and recovery. */
+import {History, SentRequest} from './history.js';
+import {hadRecentFault, overlaps} from './history_queries.js';
 
-const UNKNOWN_ROUTE = 404;
+const NOT_FOUND = 404;
 const OK = 200;
-/** Share of requests that are served once everything is mended. */
+/** Share of requests that must be served after all faults have ended. */
 const RECOVERED_SHARE = 0.9;
-/** Times a request may reach servers after it is known to end them. */
-const MORE = 3;
-/** Servers that end before it is known. */
-const ENDS = 3;
-/** Time in which a stopped host is given up by the balancer, in milliseconds. */
-const TURN_AWAY_MS = 3000;
-/** Time by which one host's configuration may seem to go back, in ms. */
+/** Times that a crashing request may reach servers after it is known to crash them. */
+const MAX_LATER_ARRIVALS = 3;
+/** Servers that a request crashes before it is known as the cause. */
+const CRASHES_UNTIL_KNOWN = 3;
+/** Time within which the balancer removes a host that is stopping, in milliseconds. */
+const BALANCER_REMOVAL_MS = 3000;
+/** Tolerance for an apparent rollback of one host's configuration, in milliseconds. */
 const ROLLBACK_SLACK_MS = 250;
 
-export function* findStepsBack(history: History): Iterable<string> {
+export function* findConfigurationRollbacks(
+  history: History,
+): Iterable<string> {
   for (const {added, version} of history.changes) {
-    const seenMs = new Map<string, number>();
-    for (const {host, start, status, sentMs, endMs} of byPath(history, added)) {
-      const process = `${host}/${start}`;
-      const sinceMs = seenMs.get(process);
-      const isKnown = status !== 0 && status !== UNKNOWN_ROUTE;
-      if (isKnown && status !== 503) {
-        seenMs.set(process, Math.min(sinceMs ?? endMs, endMs));
+    const firstSeenMs = new Map<string, number>();
+    for (const {host, start, status, sentMs, endMs} of listSentTo(
+      history,
+      added,
+    )) {
+      const incarnation = `${host}/${start}`;
+      const sinceMs = firstSeenMs.get(incarnation);
+      const isRouteKnown = status !== 0 && status !== NOT_FOUND;
+      if (isRouteKnown && status !== 503) {
+        firstSeenMs.set(incarnation, Math.min(sinceMs ?? endMs, endMs));
       } else if (
-        status === UNKNOWN_ROUTE &&
+        status === NOT_FOUND &&
         sinceMs !== undefined &&
         sentMs > sinceMs + ROLLBACK_SLACK_MS &&
         !wasRemoved(history, added, sentMs)
       ) {
-        yield `${process} forgot version ${version} at ${sentMs} ms`;
+        yield `${incarnation} reverted version ${version} at ${sentMs} ms`;
       }
     }
   }
@@ -39,24 +44,27 @@
 export function* findLateChanges(history: History): Iterable<string> {
   const {applyMs} = history.bounds;
   for (const {added, removed, ackMs, version} of history.changes) {
-    const isLate = ({sentMs, host}: Sending) =>
-      sentMs > ackMs + applyMs && !isStruck(history, host, sentMs);
-    for (const sending of byPath(history, added)) {
-      const isGone = wasRemoved(history, added, sending.sentMs);
-      if (isLate(sending) && sending.status === UNKNOWN_ROUTE && !isGone) {
-        yield `${sending.host} lacks version ${version} at ${sending.sentMs} ms`;
+    const isPastBound = ({sentMs, host}: SentRequest) =>
+      sentMs > ackMs + applyMs && !hadRecentFault(history, host, sentMs);
+    for (const request of listSentTo(history, added)) {
+      const isRemoved = wasRemoved(history, added, request.sentMs);
+      if (isPastBound(request) && request.status === NOT_FOUND && !isRemoved) {
+        yield `${request.host} has not applied version ${version} at ${request.sentMs} ms`;
       }
     }
-    for (const sending of byPath(history, removed)) {
-      if (isLate(sending) && sending.status === OK) {
-        yield `${sending.host} serves what version ${version} removed`;
+    for (const request of listSentTo(history, removed)) {
+      if (isPastBound(request) && request.status === OK) {
+        yield `${request.host} still serves a route that version ${version} removed`;
       }
     }
   }
 }
 
-/** Requests that were with a host, or came to it, when it was asked to stop. */
-export function* findLosses(history: History): Iterable<string> {
+/**
+ * Finds requests without an answer that were in flight at a host when it was asked to
+ * stop, or were sent to it before the balancer removed it.
+ */
+export function* findRequestsCutByStops(history: History): Iterable<string> {
   const {contactMs, graceMs} = history.bounds;
   for (const stop of history.faults) {
     if (!stop.planned) {
@@ -64,53 +72,62 @@
     }
     const fromMs = stop.fromMs - contactMs;
     const toMs = stop.fromMs + graceMs + 1000;
-    const isAlone = history.faults.every(
+    const isOnlyFault = history.faults.every(
       fault => fault.planned || !overlaps(fault, fromMs, toMs),
     );
-    if (!isAlone) {
+    if (!isOnlyFault) {
       continue;
     }
     for (const {id, host, sentMs, endMs, status} of history.sendings) {
-      const isThere =
+      const wasAtHost =
         host === stop.target &&
-        sentMs < stop.fromMs + TURN_AWAY_MS &&
+        sentMs < stop.fromMs + BALANCER_REMOVAL_MS &&
         endMs > stop.fromMs;
-      if (isThere && status === 0) {
-        yield `${id} was cut off by the stop of ${host}`;
+      if (wasAtHost && status === 0) {
+        yield `${id} was cut off by the planned stop of ${host}`;
       }
     }
   }
 }
 
-export function* findEnding(history: History): Iterable<string> {
+export function* findRepeatedCrashingRequests(
+  history: History,
+): Iterable<string> {
   const {endingBody, endsMs, bounds} = history;
-  const thirdMs = endsMs[ENDS - 1];
-  if (thirdMs === undefined) {
+  const knownMs = endsMs[CRASHES_UNTIL_KNOWN - 1];
+  if (knownMs === undefined) {
     return;
   }
-  const sent = new Map(history.sendings.map(sending => [sending.id, sending]));
-  const later = history.arrivals.filter(({id, body, atMs}) => {
-    const host = sent.get(id)?.host ?? '';
-    const isLate = atMs > thirdMs + bounds.contactMs;
-    return body === endingBody && isLate && !isStruck(history, host, atMs);
+  const requestsById = new Map(
+    history.sendings.map(request => [request.id, request]),
+  );
+  const laterArrivals = history.arrivals.filter(({id, body, atMs}) => {
+    const host = requestsById.get(id)?.host ?? '';
+    const isPastBound = atMs > knownMs + bounds.contactMs;
+    return (
+      body === endingBody && isPastBound && !hadRecentFault(history, host, atMs)
+    );
   });
-  if (later.length > MORE) {
-    yield `it reached servers ${later.length} times more`;
+  if (laterArrivals.length > MAX_LATER_ARRIVALS) {
+    yield `the crashing request reached servers ${laterArrivals.length} more times after it was known`;
   }
 }
 
-export function* findNoRecovery({recovery}: History): Iterable<string> {
+export function* findIncompleteRecovery({recovery}: History): Iterable<string> {
   const {asked, served} = recovery;
   if (served < asked * RECOVERED_SHARE) {
-    yield `${served} of ${asked} served after everything was mended`;
+    yield `${served} of ${asked} requests served after all faults ended`;
   }
 }
 
-function byPath(history: History, path: string): Sending[] {
-  return history.sendings.filter(sending => sending.path === path);
+function listSentTo(history: History, path: string): SentRequest[] {
+  return history.sendings.filter(request => request.path === path);
 }
 
-/** Tells whether a path may be gone: its removal was sent before. */
+/**
+ * Returns whether a path may already be removed: the store accepted its removal before
+ * the given time, or less than a second after it.
+ */
 function wasRemoved(history: History, path: string, atMs: number): boolean {
   return history.changes.some(
     ({removed, ackMs}) => removed === path && ackMs - 1000 < atMs,
--- a/test/soak/find_late_work.ts
+++ b/test/soak/find_late_arrivals.ts
@@ -1,9 +1,9 @@
-/** Finds requests that reach servers after these have started leaving. */
-import {Arrival, FaultSpan, History, Leaving} from './history.js';
-import {overlaps, touches} from './history_questions.js';
+/** Finds requests that reach servers after these have started to leave. */
+import {Arrival, FaultSpan, History, LeavingServer} from './history.js';
+import {overlaps, affects} from './history_queries.js';
 import {FaultKind} from './schedule.js';
 
-/** A request that reached a leaving server from a host not excused by a fault. */
+/** A request that reached a leaving server, from a host that no fault excuses. */
 export interface ArrivalAfterLeaving {
   readonly id: string;
   readonly host: string;
@@ -43,7 +43,7 @@
   }
 }
 
-export function* findLateWork(history: History): Iterable<string> {
+export function* findLateArrivals(history: History): Iterable<string> {
   for (const arrival of listArrivalsAfterLeaving(history)) {
     if (arrival.sinceNoticeMs > history.bounds.drainMs) {
       const {id, host, server, sinceNoticeMs} = arrival;
@@ -58,7 +58,7 @@
  */
 function findNoticeMs(
   history: History,
-  {server, atMs: leftMs}: Leaving,
+  {server, atMs: leftMs}: LeavingServer,
   host: string,
   atMs: number,
 ): number | undefined {
@@ -77,7 +77,7 @@
   return observedMs.length === 0 ? undefined : Math.min(...observedMs);
 }
 
-/** Tells whether a recent fault affected the host or its link to the server. */
+/** Returns whether a recent fault affected the host or its link to the server. */
 function isExcusedByFault(
   history: History,
   host: string,
@@ -85,7 +85,7 @@
 ): boolean {
   const sinceMs = atMs - history.bounds.contactMs;
   return history.faults.some(fault => {
-    const affectsHost = !isStoreFault(fault) && touches(fault, host);
+    const affectsHost = !isStoreFault(fault) && affects(fault, host);
     const affectsLink =
       SERVER_LINK_FAULTS.includes(fault.kind) &&
       server.startsWith(`${fault.target}@`);
@@ -93,7 +93,7 @@
   });
 }
 
-/** Tells whether a fault affects the store for all hosts. */
+/** Returns whether a fault affects the store for all hosts. */
 function isStoreFault({kind, target}: FaultSpan): boolean {
   return target === '' && kind !== FaultKind.ALL_KILLED;
 }
--- a/test/soak/history.ts
+++ b/test/soak/history.ts
@@ -4,27 +4,27 @@
   REPEATABLE: 'repeatable',
   /** At most once. */
   ONCE: 'once',
-  /** A stream that may go on at another server after its last event. */
+  /** A stream that may be resumed at another server after its last event. */
   STREAM: 'stream',
 } as const;
 export type RequestKind = (typeof RequestKind)[keyof typeof RequestKind];
 
-/** One sending of a request, as its caller saw it. Times in ms of the run. */
-export interface Sending {
+/** A request as its caller sent it and saw it end. Times are in milliseconds of the run. */
+export interface SentRequest {
   readonly id: string;
   readonly kind: RequestKind;
   readonly path: string;
   readonly body: string;
   readonly customer: string;
   readonly host: string;
-  /** Start of the host's process, from 1. */
+  /** Incarnation of the host process, counted from 1. */
   readonly start: number;
   readonly sentMs: number;
   endMs: number;
-  /** 0 while there is no answer, and where the channel closed without one. */
+  /** 0 until there is an answer, and if the connection closed without one. */
   status: number;
   answer: string;
-  /** Whether the answer came to its end. */
+  /** Whether the answer arrived completely. */
   whole: boolean;
   signed: boolean;
   retryAfter: number | undefined;
@@ -33,57 +33,57 @@
 /** One request as it reached a server. */
 export interface Arrival {
   readonly id: string;
-  /** One start of a server. */
+  /** Incarnation of the server. */
   readonly server: string;
   readonly atMs: number;
   readonly method: string;
   readonly path: string;
   readonly body: string;
   readonly customer: string;
-  /** Headers that no server may see. */
+  /** Headers that arrived although no server may see them. */
   readonly leaked: readonly string[];
-  /** Event after which a stream was to go on; 0 for a beginning. */
+  /** Event after which a stream was to be resumed; 0 for its beginning. */
   readonly after: number;
-  /** Whether the server began to work on it. */
+  /** Whether the server started to process it. */
   ran: boolean;
-  /** Body of its whole answer; absent where it gave none. */
+  /** Body of the complete answer; undefined if the server gave none. */
   answer: string | undefined;
 }
 
-/** A server that said it leaves. */
-export interface Leaving {
+/** A server that announced that it leaves, or whose entry was removed. */
+export interface LeavingServer {
   readonly server: string;
-  /** When the store had its word. */
+  /** Time at which the store recorded it. */
   readonly atMs: number;
 }
 
 /** A host's log entry that a server is draining or gone. */
-export interface ObservedLeaving {
+export interface LoggedLeaving {
   readonly host: string;
   readonly server: string;
   readonly atMs: number;
 }
 
-/** A limit while a server named it. */
-export interface NamedLimit {
+/** A limit, and the time for which a server announced it. */
+export interface AnnouncedLimit {
   readonly server: string;
-  /** Requests a second from all hosts together. */
+  /** Requests per second from all hosts together. */
   readonly perSecond: number;
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** A configuration that the store took. */
+/** A configuration that the store accepted. */
 export interface Change {
   readonly version: number;
   readonly ackMs: number;
-  /** Path that it added. */
+  /** Path of the route that it added. */
   readonly added: string;
-  /** Path that it removed; empty for none. */
+  /** Path of the route that it removed; empty if there is none. */
   readonly removed: string;
 }
 
-/** A call for a duty, as the cloud took it. */
+/** A call for a duty, as the cloud received it. */
 export interface DutyCall {
   readonly atMs: number;
   readonly holder: string;
@@ -92,18 +92,18 @@
   readonly counts: string;
 }
 
-/** A fault while it lasted. */
+/** A fault, and the time for which it lasted. */
 export interface FaultSpan {
   readonly kind: string;
-  /** Host or server that it struck; empty where it struck all. */
+  /** Host or server that it affected; empty if it affected all. */
   readonly target: string;
   readonly fromMs: number;
   toMs: number;
-  /** Whether it was planned work, which may lose nothing. */
+  /** Whether it was planned work, which must not lose any request. */
   readonly planned: boolean;
 }
 
-/** Bounds that were in force. */
+/** Bounds in force during a run. */
 export interface Bounds {
   readonly contactMs: number;
   readonly applyMs: number;
@@ -115,34 +115,35 @@
   readonly quotaWindowMs: number;
   readonly quotaOverage: number;
   readonly quotaSlack: number;
-  /** Units a second and at once, by customer. */
+  /** Units per second and burst, by customer. */
   readonly rates: ReadonlyMap<string, readonly [rate: number, burst: number]>;
 }
 
-/** All that was seen from outside in one run. */
+/** Everything that was observed from outside in one run. */
 export interface History {
   readonly bounds: Bounds;
-  readonly sendings: Sending[];
+  readonly sendings: SentRequest[];
   readonly arrivals: Arrival[];
-  readonly leavings: Leaving[];
-  readonly words: ObservedLeaving[];
-  readonly limits: NamedLimit[];
+  readonly leavings: LeavingServer[];
+  /** Log entries of the hosts about leaving servers. */
+  readonly words: LoggedLeaving[];
+  readonly limits: AnnouncedLimit[];
   readonly changes: Change[];
   readonly duties: DutyCall[];
   readonly faults: FaultSpan[];
-  /** Body of the request that ends servers. */
+  /** Body of the request that crashes servers. */
   readonly endingBody: string;
-  /** When a server ended under that request. */
+  /** Times at which a server crashed because of that request. */
   readonly endsMs: number[];
-  /** Ids whose end the hosts logged, by host. */
+  /** Ids of the requests whose outcome was logged, by host. */
   readonly logged: Map<string, Set<string>>;
-  /** Ends of hosts' processes that nobody asked for. */
+  /** Exits of host processes that were not requested. */
   readonly ownExits: string[];
-  /** Sent after everything was mended, and served. */
+  /** Requests sent after all faults had ended, and those of them that were served. */
   recovery: {asked: number; served: number};
 }
 
-/** Makes a history in which nothing has happened. */
+/** Creates an empty history. */
 export function createHistory(bounds: Bounds, endingBody: string): History {
   return {
     bounds,
--- a/test/soak/history_questions.ts
+++ b/test/soak/history_queries.ts
@@ -1,10 +1,10 @@
 import {Arrival, FaultSpan, History} from './history.js';
 import {FaultKind} from './schedule.js';
 
-/** Time in which a line may not have left its process, in milliseconds. */
-const UNWRITTEN_MS = 1000;
+/** Time for which a log line may not have left its process, in milliseconds. */
+const LOG_LOSS_MS = 1000;
 
-export function groupRuns(history: History): Map<string, Arrival[]> {
+export function groupRunsById(history: History): Map<string, Arrival[]> {
   const runs = new Map<string, Arrival[]>();
   for (const arrival of history.arrivals) {
     if (arrival.ran) {
@@ -19,17 +19,17 @@
   return runs;
 }
 
-/** Tells whether a fault struck a host, or all, in the time of contact before. */
-export function isStruck(
+/** Returns whether a fault affected a host, or all, within the contact bound before a time. */
+export function hadRecentFault(
   history: History,
   host: string,
   atMs: number,
 ): boolean {
   const sinceMs = atMs - history.bounds.contactMs;
-  return isStruckBy(history, host, () => true, sinceMs, atMs);
+  return hadFault(history, host, () => true, sinceMs, atMs);
 }
 
-export function touches({target}: FaultSpan, host: string): boolean {
+export function affects({target}: FaultSpan, host: string): boolean {
   return target === '' || target === host;
 }
 
@@ -42,32 +42,32 @@
 }
 
 /**
- * Tells whether a host was killed so soon after that its last lines are lost. While it
- * stands still it writes none: one that is killed before it goes on has lost them, too.
+ * Returns whether a host was killed so soon after a time that its last log lines are lost.
+ * A frozen host writes no lines: one that is killed before it resumes loses them, too.
  */
-export function wasKilled(
+export function mayHaveLostLogLines(
   history: History,
   host: string,
   atMs: number,
 ): boolean {
-  const fromMs = atMs - UNWRITTEN_MS;
-  const unwrittenMs = atMs + UNWRITTEN_MS;
-  const frozenMs = history.faults
+  const fromMs = atMs - LOG_LOSS_MS;
+  const logLossEndMs = atMs + LOG_LOSS_MS;
+  const freezeEndsMs = history.faults
     .filter(
       fault =>
         fault.kind === FaultKind.HOST_FREEZE &&
-        touches(fault, host) &&
+        affects(fault, host) &&
         fault.fromMs >= atMs &&
-        fault.fromMs <= unwrittenMs,
+        fault.fromMs <= logLossEndMs,
     )
     .map(fault => fault.toMs);
-  const toMs = Math.max(unwrittenMs, ...frozenMs);
+  const toMs = Math.max(logLossEndMs, ...freezeEndsMs);
   const isKill = (kind: string) => kind.includes('kill');
-  return isStruckBy(history, host, isKill, fromMs, toMs);
+  return hadFault(history, host, isKill, fromMs, toMs);
 }
 
-/** Tells whether a fault of some kind struck a host, or all, in a span. */
-export function isStruckBy(
+/** Returns whether a fault of a matching kind affected a host, or all, in a time span. */
+export function hadFault(
   history: History,
   host: string,
   isKind: (kind: string) => boolean,
@@ -77,7 +77,7 @@
   return history.faults.some(
     fault =>
       isKind(fault.kind) &&
-      touches(fault, host) &&
+      affects(fault, host) &&
       overlaps(fault, fromMs, toMs),
   );
 }
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,15 +1,15 @@
-/** Program: a fault soak of the real programs; see docs/SOAK.md. */
+/** Program: soak test of the real programs under injected faults; see docs/SOAK.md. */
 import {mkdir, readFile, writeFile} from 'node:fs/promises';
 import {join} from 'node:path';
 import {cac} from 'cac';
 import {formatLine} from '../../src/log/index.js';
-import {listArrivalsAfterLeaving} from './find_late_work.js';
+import {listArrivalsAfterLeaving} from './find_late_arrivals.js';
 import {History} from './history.js';
 import {runSoak, SoakReport} from './run_soak.js';
 import {drawSchedule, Schedule} from './schedule.js';
 import {shrinkSchedule} from './shrink_schedule.js';
 
-/** Options of the program, as the command line gives them. */
+/** Options from the command line. */
 interface Options {
   readonly seed?: number;
   readonly runs: number;
@@ -25,7 +25,7 @@
 const MAX_SEED = 0x7fffffff;
 const MS_PER_SECOND = 1000;
 const MS_PER_MINUTE = 60_000;
-const EXIT_BROKEN = 1;
+const EXIT_VIOLATIONS = 1;
 const EXIT_USAGE = 2;
 const EXIT_INTERRUPTED = 130;
 
@@ -37,17 +37,22 @@
 cli
   .command(
     '',
-    'Play faults against the real programs and check what is promised',
+    'Inject faults into the real programs and check their guarantees',
   )
-  .option('--seed <n>', 'First seed; a random one is printed')
-  .option('--runs <n>', 'Seeds to play, one after the other', {default: 1})
-  .option('--minutes <n>', 'Play seeds for so long instead')
-  .option('--hosts <n>', 'Entry hosts, from 1 to 60', {default: 3})
-  .option('--seconds <n>', 'Length of the traffic of a run', {default: 15})
-  .option('--schedule <file>', 'Play a schedule that a failed run left')
-  .option('--print', 'Print the schedule of the seed and play nothing')
-  .option('--shrink', 'Leave faults out while the run still fails')
-  .option('--folder <path>', 'Where failed runs are left', {
+  .option(
+    '--seed <n>',
+    'First seed; if absent, a random one is chosen and printed',
+  )
+  .option('--runs <n>', 'Number of seeds to run, one after the other', {
+    default: 1,
+  })
+  .option('--minutes <n>', 'Run seeds for this number of minutes instead')
+  .option('--hosts <n>', 'Number of entry hosts, from 1 to 60', {default: 3})
+  .option('--seconds <n>', 'Duration of the traffic in a run', {default: 15})
+  .option('--schedule <file>', 'Run the schedule that a failed run saved')
+  .option('--print', 'Print the schedule of the seed without running it')
+  .option('--shrink', 'Remove faults from a failed run while it still fails')
+  .option('--folder <path>', 'Where failed runs are saved', {
     default: 'soak-failures',
   })
   .action(main);
@@ -55,9 +60,9 @@
 cli.parse();
 
 async function main(options: Options): Promise<void> {
-  const mistake = findMistake(options);
-  if (mistake !== undefined) {
-    process.stderr.write(`soak: ${mistake}\n`);
+  const optionError = findOptionError(options);
+  if (optionError !== undefined) {
+    process.stderr.write(`soak: ${optionError}\n`);
     process.exitCode = EXIT_USAGE;
     return;
   }
@@ -72,7 +77,7 @@
       print(JSON.stringify(schedule, undefined, 2));
       return;
     }
-    broken += (await playOne(schedule, options)) ? 1 : 0;
+    broken += (await playAndReport(schedule, options)) ? 1 : 0;
     played++;
     const isLast =
       options.minutes === undefined
@@ -83,16 +88,16 @@
     }
   }
   print(formatLine({soak: 'done', first_seed: first, played, broken}));
-  // A channel that was reset while it opened would keep Node running.
-  process.exit(broken > 0 ? EXIT_BROKEN : 0);
+  // A connection that was reset while it was being opened would keep Node running.
+  process.exit(broken > 0 ? EXIT_VIOLATIONS : 0);
 }
 
-function findMistake({hosts, seconds, runs}: Options): string | undefined {
+function findOptionError({hosts, seconds, runs}: Options): string | undefined {
   if (!(hosts >= 1 && hosts <= 60)) {
-    return '--hosts must be from 1 to 60: each is a process of its own';
+    return '--hosts must be from 1 to 60: each host is a separate process';
   }
   if (!(seconds >= 4)) {
-    return '--seconds must be 4 or more: a run begins and ends with calm';
+    return '--seconds must be 4 or more: a run begins and ends without new faults';
   }
   return runs >= 1 ? undefined : '--runs must be 1 or more';
 }
@@ -108,8 +113,11 @@
   return drawSchedule(seed, Number(options.hosts), lengthMs);
 }
 
-/** Plays one schedule; returns whether a promise was broken. */
-async function playOne(schedule: Schedule, options: Options): Promise<boolean> {
+/** Runs one schedule; returns whether a guarantee was violated. */
+async function playAndReport(
+  schedule: Schedule,
+  options: Options,
+): Promise<boolean> {
   const startMs = performance.now();
   const report = await runSoak(schedule, true);
   print(
@@ -133,18 +141,18 @@
   if (report.violations.length === 0) {
     return false;
   }
-  await leave(report, options.folder);
+  await writeFailedRun(report, options.folder);
   if (options.shrink === true) {
-    const small = await shrinkSchedule(schedule, async tried => {
-      const again = await runSoak(tried, true);
-      return again.violations.length > 0;
+    const shrunk = await shrinkSchedule(schedule, async candidate => {
+      const rerun = await runSoak(candidate, true);
+      return rerun.violations.length > 0;
     });
-    print(`shrunk to ${JSON.stringify(small.faults)}`);
+    print(`shrunk to ${JSON.stringify(shrunk.faults)}`);
   }
   return true;
 }
 
-/** Reports the two longest delays at which leaving servers still got requests. */
+/** Returns how many leaving servers still got requests, and the two longest delays. */
 function describeLastArrivals(
   history: History,
 ): Readonly<Record<string, number>> {
@@ -160,9 +168,12 @@
   };
 }
 
-/** Leaves a failed run for whoever looks into it. */
-async function leave(report: SoakReport, folder: string): Promise<void> {
-  const {schedule, history, violations, lines} = report;
+/** Saves a failed run for analysis. */
+async function writeFailedRun(
+  report: SoakReport,
+  folder: string,
+): Promise<void> {
+  const {schedule, history, violations, logLines} = report;
   const path = join(folder, `seed-${schedule.seed}`);
   await mkdir(path, {recursive: true});
   const write = (name: string, value: unknown) =>
@@ -170,14 +181,14 @@
   await write('schedule.json', schedule);
   await write('violations.json', violations);
   await write('history.json', {...history, logged: undefined});
-  for (const [host, text] of lines) {
+  for (const [host, text] of logLines) {
     await writeFile(join(path, `${host}.log`), text.join('\n'));
   }
   for (const {check, detail} of violations.slice(0, 10)) {
     print(`broken: ${check}: ${detail}`);
   }
   print(
-    `left in ${path}; again: npm run soak -- --schedule ${path}/schedule.json`,
+    `saved in ${path}; to run it again: npm run soak -- --schedule ${path}/schedule.json`,
   );
 }
 
--- a/test/soak/run_soak.ts
+++ b/test/soak/run_soak.ts
@@ -3,20 +3,20 @@
 import {join} from 'node:path';
 import {SeededRandom} from '../../src/random/index.js';
 import {Callers} from './callers.js';
-import {judge, Violation} from './checks.js';
+import {findViolations, Violation} from './checks.js';
 import {Bounds, createHistory, History} from './history.js';
-import {Injector} from './injector.js';
+import {FaultInjector} from './fault_injector.js';
 import {Fault, Schedule} from './schedule.js';
-import {PRESSING_CUSTOMER, SoakSystem, wait} from './soak_system.js';
+import {LOW_RATE_CUSTOMER, SoakSystem, wait} from './soak_system.js';
 
-/** What a run was, and what did not hold in it. */
+/** A run, and the violations found in it. */
 export interface SoakReport {
   readonly schedule: Schedule;
   readonly history: History;
   readonly violations: readonly Violation[];
-  /** Lines of each host. */
-  readonly lines: ReadonlyMap<string, readonly string[]>;
-  /** Requests by how they ended, for the summary. */
+  /** Log lines of each host. */
+  readonly logLines: ReadonlyMap<string, readonly string[]>;
+  /** Number of requests by outcome, for the summary. */
   readonly outcomes: ReadonlyMap<string, number>;
 }
 
@@ -31,22 +31,22 @@
   quotaWindowMs: 4000,
   quotaOverage: 0.1,
   quotaSlack: 10,
-  rates: new Map([[PRESSING_CUSTOMER, [10, 10]]]),
+  rates: new Map([[LOW_RATE_CUSTOMER, [10, 10]]]),
 };
-const CALLERS_A_HOST = 4;
-/** Time after the last fault in which everything is to serve again, in ms. */
+const CALLERS_PER_HOST = 4;
+/** Time after the last fault within which everything must serve again, in milliseconds. */
 const RECOVERY_MS = 6000;
-const RECOVERY_ASKS = 10;
+const RECOVERY_PROBES_PER_HOST = 10;
 
 /**
- * Plays a schedule against the real programs.
- * @param schedule - What happens.
- * @param timely - Whether bounds of time are judged, too.
- * @param onFault - Told of each fault as it begins.
+ * Runs a schedule against the real programs.
+ * @param schedule - Size and faults of the run.
+ * @param checkTimeBounds - Whether checks that depend on a time bound are included.
+ * @param onFault - Called with each fault when it starts.
  */
 export async function runSoak(
   schedule: Schedule,
-  timely: boolean,
+  checkTimeBounds: boolean,
   onFault: (fault: Fault) => void = () => undefined,
 ): Promise<SoakReport> {
   const folder = await mkdtemp(join(tmpdir(), 'sedgefall-soak-'));
@@ -56,41 +56,47 @@
   const callers = new Callers(system, history, random);
   try {
     await system.start();
-    callers.start(CALLERS_A_HOST * schedule.hosts);
-    await play(schedule, new Injector(system, history, callers), onFault);
-    await wait(timely ? RECOVERY_MS : 0);
+    callers.start(CALLERS_PER_HOST * schedule.hosts);
+    await playSchedule(
+      schedule,
+      new FaultInjector(system, history, callers),
+      onFault,
+    );
+    await wait(checkTimeBounds ? RECOVERY_MS : 0);
     await system.waitUntilReady();
     await callers.stop();
-    await callers.askAll(RECOVERY_ASKS);
-    await waitForLines();
+    await callers.probeHosts(RECOVERY_PROBES_PER_HOST);
+    await waitForLogLines();
   } finally {
     await system.stop();
     await rm(folder, {recursive: true, force: true});
   }
-  history.words.push(...system.listObservedLeavings());
-  for (const {options, logged, ownExits} of system.hosts) {
+  history.words.push(...system.listLoggedLeavings());
+  for (const {options, logged, unexpectedExits} of system.hosts) {
     history.logged.set(options.name, logged);
-    history.ownExits.push(...ownExits.map(exit => `${options.name} ${exit}`));
+    history.ownExits.push(
+      ...unexpectedExits.map(exit => `${options.name} ${exit}`),
+    );
   }
   return {
     schedule,
     history,
-    violations: judge(history, timely),
-    lines: new Map(
-      system.hosts.map(({options, lines}) => [options.name, lines]),
+    violations: findViolations(history, checkTimeBounds),
+    logLines: new Map(
+      system.hosts.map(({options, logLines}) => [options.name, logLines]),
     ),
     outcomes: countOutcomes(history),
   };
 }
 
-/** The last lines of a process reach its reader a little later. */
-function waitForLines(): Promise<void> {
+/** Waits for the last lines of a process, which reach their reader with a short delay. */
+function waitForLogLines(): Promise<void> {
   return wait(200);
 }
 
-async function play(
+async function playSchedule(
   schedule: Schedule,
-  injector: Injector,
+  injector: FaultInjector,
   onFault: (fault: Fault) => void,
 ): Promise<void> {
   const startMs = performance.now();
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -1,6 +1,6 @@
 import {Random, SeededRandom} from '../../src/random/index.js';
 
-/** Kinds of fault, all from outside the programs. */
+/** Kinds of fault, all injected from outside the programs. */
 export const FaultKind = {
   HOST_KILL: 'host-kill',
   HOST_STOP: 'host-stop',
@@ -35,60 +35,63 @@
 } as const;
 export type FaultKind = (typeof FaultKind)[keyof typeof FaultKind];
 
-/** Kinds that are drawn by themselves, so that older seeds keep their other faults. */
-const DRAWN_APART: readonly FaultKind[] = [
+/** Kinds that are drawn separately, so that older seeds keep their other faults. */
+const SEPARATELY_DRAWN: readonly FaultKind[] = [
   FaultKind.SERVER_LIMITS,
   FaultKind.SERVER_REMOVED,
 ];
-/** Moves the seed by which those are drawn. */
-const APART = 0x5eed;
+/** Seed offset for server limits, so that other draws stay the same. */
+const LIMITS_SEED_OFFSET = 0x5eed;
 /** Seed offset for series of leaving servers, so that other draws stay the same. */
 const LEAVINGS_SEED_OFFSET = 0x1eaf;
 
-/** One fault of a schedule. */
+/** A fault in a schedule. */
 export interface Fault {
   readonly kind: FaultKind;
-  /** From the start of traffic, in milliseconds. */
+  /** Time since the start of the traffic, in milliseconds. */
   readonly atMs: number;
   readonly forMs: number;
-  /** Which host or server, counted from 0; those that are fewer wrap around. */
+  /** Index of the host or server, from 0; wraps around if there are fewer. */
   readonly target: number;
 }
 
-/** What happens in a run. */
+/** Size and faults of a run. */
 export interface Schedule {
   readonly seed: number;
   readonly hosts: number;
   readonly servers: number;
-  /** Length of the traffic, in milliseconds. */
+  /** Duration of the traffic, in milliseconds. */
   readonly lengthMs: number;
   readonly faults: readonly Fault[];
 }
 
-/** Calm at the beginning and at the end, in milliseconds. */
-const CALM_MS = 1500;
-/** Mean pause between the beginnings of faults, in milliseconds. */
+/**
+ * Time at the beginning and the end for which no faults are drawn, in milliseconds. Only
+ * server limits start in the first of these.
+ */
+const MARGIN_MS = 1500;
+/** Mean interval between the starts of faults, in milliseconds. */
 const PAUSE_MS = 1200;
-const SHORTEST_MS = 300;
-const LONGEST_MS = 3000;
-/** Share of schedules in which a server limits what it takes. */
+const MIN_FAULT_MS = 300;
+const MAX_FAULT_MS = 3000;
+/** Share of schedules in which servers limit the requests that they accept. */
 const LIMITED_SHARE = 0.5;
-/** Span of such a limit, in milliseconds: it binds some seconds after it is named. */
-const SHORTEST_LIMIT_MS = 7500;
-const LONGEST_LIMIT_MS = 10_000;
-/** Servers that name limits together, at most. */
-const MOST_LIMITED = 3;
+/** Duration of such a limit, in milliseconds: it binds some seconds after it is announced. */
+const MIN_LIMIT_MS = 7500;
+const MAX_LIMIT_MS = 10_000;
+/** Maximum number of servers that announce limits at the same time. */
+const MAX_LIMITED_SERVERS = 3;
 /** Share of faults that come as a series of the same kind. */
 const SERIES_SHARE = 0.2;
-const SERIES = 3;
+const SERIES_LENGTH = 3;
 const SERIES_GAP_MS = 600;
 /** Share of schedules in which servers leave throughout the run. */
 const LEAVINGS_SHARE = 0.5;
 /** Mean interval between leaving servers, in milliseconds. */
 const LEAVING_PAUSE_MS = 500;
 /**
- * Hosts from which two read the tables for all: such runs have three data centres, and
- * host faults while servers leave.
+ * Number of hosts from which on two of them read the tables for all. Such runs have three
+ * data centres, and host faults while servers leave.
  */
 export const LARGE_RUN_HOSTS = 13;
 const HOST_FAULTS: readonly FaultKind[] = [
@@ -102,9 +105,9 @@
 
 /**
  * Draws a schedule.
- * @param seed - Decides everything.
- * @param hosts - Entry hosts.
- * @param lengthMs - Length of the traffic, in milliseconds.
+ * @param seed - Determines all random draws.
+ * @param hosts - Number of entry hosts.
+ * @param lengthMs - Duration of the traffic, in milliseconds.
  */
 export function drawSchedule(
   seed: number,
@@ -113,17 +116,17 @@
 ): Schedule {
   const random = new SeededRandom(seed);
   const faults: Fault[] = [];
-  let atMs = CALM_MS;
-  while (atMs < lengthMs - CALM_MS) {
+  let atMs = MARGIN_MS;
+  while (atMs < lengthMs - MARGIN_MS) {
     const fault = drawFault(random, atMs);
-    const times = random.next() < SERIES_SHARE ? SERIES : 1;
+    const times = random.next() < SERIES_SHARE ? SERIES_LENGTH : 1;
     for (let step = 0; step < times; step++) {
       const target = fault.target + step;
       faults.push({...fault, atMs: atMs + step * SERIES_GAP_MS, target});
     }
     atMs += Math.round(PAUSE_MS * (0.3 + 1.4 * random.next()));
   }
-  faults.push(...drawLimits(new SeededRandom(seed + APART)));
+  faults.push(...drawLimits(new SeededRandom(seed + LIMITS_SEED_OFFSET)));
   faults.push(
     ...drawLeavings(
       new SeededRandom(seed + LEAVINGS_SEED_OFFSET),
@@ -148,8 +151,8 @@
     return [];
   }
   const faults: Fault[] = [];
-  let atMs = CALM_MS;
-  while (atMs < lengthMs - CALM_MS) {
+  let atMs = MARGIN_MS;
+  while (atMs < lengthMs - MARGIN_MS) {
     const isAnnounced = random.next() < 0.5;
     faults.push({
       kind: isAnnounced ? FaultKind.SERVER_LEAVES : FaultKind.SERVER_REMOVED,
@@ -165,9 +168,11 @@
   return faults;
 }
 
-/** Draws the length of a fault, in milliseconds. */
-function drawLength(random: Random): number {
-  return Math.round(SHORTEST_MS + (LONGEST_MS - SHORTEST_MS) * random.next());
+/** Draws the duration of a fault, in milliseconds. */
+function drawDurationMs(random: Random): number {
+  return Math.round(
+    MIN_FAULT_MS + (MAX_FAULT_MS - MIN_FAULT_MS) * random.next(),
+  );
 }
 
 function drawHostFault(random: Random, atMs: number): Fault {
@@ -175,20 +180,20 @@
   return {
     kind: kind ?? FaultKind.HOST_KILL,
     atMs,
-    forMs: drawLength(random),
+    forMs: drawDurationMs(random),
     target: random.next() < 0.5 ? AGGREGATOR : Math.floor(random.next() * 64),
   };
 }
 
 function drawFault(random: Random, atMs: number): Fault {
   const kinds = Object.values(FaultKind).filter(
-    kind => !DRAWN_APART.includes(kind),
+    kind => !SEPARATELY_DRAWN.includes(kind),
   );
   const kind = kinds[Math.floor(random.next() * kinds.length)];
   return {
     kind: kind ?? FaultKind.CHANGE,
     atMs,
-    forMs: drawLength(random),
+    forMs: drawDurationMs(random),
     target: Math.floor(random.next() * 64),
   };
 }
@@ -197,10 +202,10 @@
   if (random.next() >= LIMITED_SHARE) {
     return [];
   }
-  const count = 1 + Math.floor(random.next() * MOST_LIMITED);
-  const atMs = Math.round(CALM_MS * random.next());
-  const spanMs = LONGEST_LIMIT_MS - SHORTEST_LIMIT_MS;
-  const forMs = Math.round(SHORTEST_LIMIT_MS + spanMs * random.next());
+  const count = 1 + Math.floor(random.next() * MAX_LIMITED_SERVERS);
+  const atMs = Math.round(MARGIN_MS * random.next());
+  const spanMs = MAX_LIMIT_MS - MIN_LIMIT_MS;
+  const forMs = Math.round(MIN_LIMIT_MS + spanMs * random.next());
   const first = Math.floor(random.next() * 64);
   return Array.from({length: count}, (_value, index) => ({
     kind: FaultKind.SERVER_LIMITS,
--- a/test/soak/schedule_test.ts
+++ b/test/soak/schedule_test.ts
@@ -4,7 +4,7 @@
 
 const LENGTH_MS = 15_000;
 
-describe('schedules of the soak', () => {
+describe('soak schedules', () => {
   it('are the same for the same seed', () => {
     expect(drawSchedule(7, 3, LENGTH_MS)).to.deep.equal(
       drawSchedule(7, 3, LENGTH_MS),
@@ -14,7 +14,7 @@
     );
   });
 
-  it('have every kind of fault within fifty seeds', () => {
+  it('contain every kind of fault within fifty seeds', () => {
     const kinds = new Set<FaultKind>();
     for (let seed = 0; seed < 50; seed++) {
       for (const {kind} of drawSchedule(seed, 3, LENGTH_MS).faults) {
@@ -24,15 +24,15 @@
     expect(kinds.size).to.equal(Object.keys(FaultKind).length);
   });
 
-  it('are shrunk to the faults that matter', async () => {
+  it('shrink to the faults that cause the failure', async () => {
     const schedule = drawSchedule(7, 3, 60_000);
     const [first, , third] = schedule.faults;
-    const small = await shrinkSchedule(
+    const shrunk = await shrinkSchedule(
       schedule,
       async ({faults}) =>
         faults.some(fault => fault === first) &&
         faults.some(fault => fault === third),
     );
-    expect(small.faults).to.deep.equal([first, third]);
+    expect(shrunk.faults).to.deep.equal([first, third]);
   });
 });
--- a/test/soak/shrink_schedule.ts
+++ b/test/soak/shrink_schedule.ts
@@ -1,32 +1,32 @@
 import {Schedule} from './schedule.js';
 
 /**
- * Leaves faults out of a schedule while it still fails: halves first, then ever
- * smaller parts.
+ * Removes faults from a schedule while it still fails: halves first, then ever smaller
+ * parts.
  * @param schedule - A schedule that fails.
- * @param fails - Plays a schedule; tells whether it fails.
- * @returns A schedule that failed, of which no part that was tried could go.
+ * @param fails - Runs a schedule; returns whether it fails.
+ * @returns A schedule that failed, and from which no part that was tried could be removed.
  */
 export async function shrinkSchedule(
   schedule: Schedule,
   fails: (schedule: Schedule) => Promise<boolean>,
 ): Promise<Schedule> {
   let smallest = schedule;
-  let size = Math.ceil(schedule.faults.length / 2);
-  while (size >= 1) {
-    let from = 0;
-    while (from < smallest.faults.length) {
+  let chunkSize = Math.ceil(schedule.faults.length / 2);
+  while (chunkSize >= 1) {
+    let start = 0;
+    while (start < smallest.faults.length) {
       const faults = smallest.faults.filter(
-        (_fault, index) => index < from || index >= from + size,
+        (_fault, index) => index < start || index >= start + chunkSize,
       );
-      const tried = {...smallest, faults};
-      if (await fails(tried)) {
-        smallest = tried;
+      const candidate = {...smallest, faults};
+      if (await fails(candidate)) {
+        smallest = candidate;
       } else {
-        from += size;
+        start += chunkSize;
       }
     }
-    size = size === 1 ? 0 : Math.ceil(size / 2);
+    chunkSize = chunkSize === 1 ? 0 : Math.ceil(chunkSize / 2);
   }
   return smallest;
 }
--- a/test/soak/soak_host.ts
+++ b/test/soak/soak_host.ts
@@ -7,46 +7,46 @@
 import {Bounds} from './history.js';
 import {Link} from './link.js';
 
-/** Where a host finds what it needs. */
+/** Identity of a host, and the addresses and bounds for its settings. */
 export interface SoakHostOptions {
   readonly name: string;
   readonly dataCentre: string;
   /** Folder for its settings file. */
   readonly folder: string;
   readonly bounds: Bounds;
-  /** Returns the ports of store and cloud. */
+  /** Returns the port of the store. */
   readonly getStorePort: () => number;
   readonly cloudAddress: string;
 }
 
 const MS_PER_SECOND = 1000;
-/** Time after which a process that ended is started again, in milliseconds. */
+/** Time after which a process that exited is restarted, in milliseconds. */
 const RESTART_MS = 100;
-/** As the bundled daemon is started. */
+/** Node arguments, as for the bundled daemon. */
 const PROGRAM = [
   '--require',
   './scripts/early_signals.cjs',
   'dist/platform/sedgefalld.js',
 ];
-const SERVER_LEAVING =
+const SERVER_LEAVING_LINE =
   /^time=(\S+) .*event=server_state .*server=(\S+) .*state=(?:draining|gone)/;
-const ENDED = /event=(relayed|refused) .*?request=(\S+)/;
-/** Lines kept of one host for a run that fails. */
+const OUTCOME_LINE = /event=(relayed|refused) .*?request=(\S+)/;
+/** Maximum number of log lines kept per host, to be saved if the run fails. */
 const MAX_LINES = 200_000;
 
-/** One real daemon, as a process of its own, with its link to the store. */
+/** A real daemon in its own process, with its link to the store. */
 export class SoakHost {
   readonly storeLink: Link;
-  readonly lines: string[] = [];
-  /** Ids whose end it logged. */
+  readonly logLines: string[] = [];
+  /** Ids of the requests whose outcome it logged. */
   readonly logged = new Set<string>();
   /** Servers it logged as draining or gone, with the wall-clock time of the line. */
-  readonly observedLeavings: {readonly server: string; readonly at: Date}[] =
-    [];
-  /** Ends of its process that nobody asked for. */
-  readonly ownExits: string[] = [];
-  /** Starts so far. */
-  starts = 0;
+  readonly loggedLeavings: {readonly server: string; readonly at: Date}[] = [];
+  /** Exits of its process that were not requested. */
+  readonly unexpectedExits: string[] = [];
+  /** Number of starts so far, which identifies the current process. */
+  incarnation = 0;
+  /** Addresses for callers, readiness checks and metrics. */
   callers = '';
   ready = '';
   metrics = '';
@@ -54,17 +54,17 @@
   private ports: number[] = [];
   private storeAddress = '';
   private child: ChildProcess | undefined;
-  /** Whether the end of its process was asked for. */
-  private isAsked = false;
+  /** Whether the exit of its process was requested. */
+  private isExitExpected = false;
   private stopped = false;
-  private downMs = RESTART_MS;
+  private restartDelayMs = RESTART_MS;
   private reloads = 0;
 
   constructor(readonly options: SoakHostOptions) {
     this.storeLink = new Link(options.getStorePort);
   }
 
-  /** Prepares its addresses. */
+  /** Allocates its addresses and writes its settings. */
   async prepare(): Promise<void> {
     const {folder, name} = this.options;
     this.storeAddress = await this.storeLink.listen();
@@ -77,38 +77,42 @@
     await this.writeSettings();
   }
 
-  /** Starts the process; one that ends is started again after a while. */
+  /** Starts the process; if it exits, it is restarted after a delay. */
   start(): void {
-    this.starts++;
-    this.isAsked = false;
+    this.incarnation++;
+    this.isExitExpected = false;
     const child = spawn(process.execPath, PROGRAM, {
       env: {PATH: process.env['PATH'], SEDGEFALL_BOOT: this.settingsPath},
       stdio: ['ignore', 'pipe', 'pipe'],
     });
     this.child = child;
-    // Ended by its id also where the soak itself is interrupted.
-    const endWithSoak = () => child.kill('SIGKILL');
+    // Kills the process by its id also if the soak itself is interrupted.
+    const killChild = () => child.kill('SIGKILL');
     // Avoids the listener leak warning: each running host adds an exit listener.
     process.setMaxListeners(0);
-    process.once('exit', endWithSoak);
-    child.once('exit', () => process.off('exit', endWithSoak));
+    process.once('exit', killChild);
+    child.once('exit', () => process.off('exit', killChild));
     child.once('exit', code => {
-      if (!this.isAsked) {
-        this.ownExits.push(`code ${code}: ${this.lines.slice(-2).join(' / ')}`);
+      if (!this.isExitExpected) {
+        this.unexpectedExits.push(
+          `code ${code}: ${this.logLines.slice(-2).join(' / ')}`,
+        );
       }
       setTimeout(() => {
-        this.downMs = RESTART_MS;
+        this.restartDelayMs = RESTART_MS;
         if (!this.stopped) {
           this.start();
         }
-      }, this.downMs);
+      }, this.restartDelayMs);
     });
     for (const stream of [child.stdout, child.stderr]) {
-      createInterface({input: stream}).on('line', line => this.note(line));
+      createInterface({input: stream}).on('line', line =>
+        this.recordLine(line),
+      );
     }
   }
 
-  /** Tells whether its process runs. */
+  /** Returns whether its process is running. */
   isRunning(): boolean {
     const {child} = this;
     return (
@@ -118,7 +122,7 @@
     );
   }
 
-  /** Sends a signal to its process, if it runs. */
+  /** Sends a signal to its process, if it is running. */
   signal(signal: NodeJS.Signals): void {
     if (this.isRunning()) {
       this.child?.kill(signal);
@@ -126,49 +130,52 @@
   }
 
   /**
-   * Ends its process; it starts again.
-   * @param signal - How it is asked to end.
-   * @param downMs - Time until it starts again.
+   * Terminates its process; it is restarted.
+   * @param signal - Signal to send.
+   * @param restartDelayMs - Time until the restart, in milliseconds.
    */
-  async end(signal: NodeJS.Signals, downMs = RESTART_MS): Promise<void> {
+  async terminate(
+    signal: NodeJS.Signals,
+    restartDelayMs = RESTART_MS,
+  ): Promise<void> {
     const {child} = this;
     if (child === undefined || !this.isRunning()) {
       return;
     }
-    this.isAsked = true;
-    this.downMs = downMs;
-    // One that stands still would end only when it goes on.
+    this.isExitExpected = true;
+    this.restartDelayMs = restartDelayMs;
+    // A frozen process would exit only once it is resumed.
     child.kill('SIGCONT');
     child.kill(signal);
     await once(child, 'exit');
   }
 
-  /** Changes a setting and says so. */
+  /** Changes a setting and signals the process to reload. */
   async reload(): Promise<void> {
     this.reloads++;
     await this.writeSettings();
     this.signal('SIGHUP');
   }
 
-  /** Ends its process and its link. */
+  /** Terminates its process and stops its link. */
   async stop(): Promise<void> {
     this.stopped = true;
-    await this.end('SIGKILL');
+    await this.terminate('SIGKILL');
     this.storeLink.stop();
   }
 
-  private note(line: string): void {
-    if (this.lines.length < MAX_LINES) {
-      this.lines.push(line);
+  private recordLine(line: string): void {
+    if (this.logLines.length < MAX_LINES) {
+      this.logLines.push(line);
     }
-    const leaving = SERVER_LEAVING.exec(line);
+    const leaving = SERVER_LEAVING_LINE.exec(line);
     if (leaving !== null) {
-      this.observedLeavings.push({
+      this.loggedLeavings.push({
         server: leaving[2] ?? '',
         at: new Date(leaving[1] ?? ''),
       });
     }
-    const id = ENDED.exec(line)?.[2];
+    const id = OUTCOME_LINE.exec(line)?.[2];
     if (id !== undefined) {
       this.logged.add(id);
     }
--- a/test/soak/soak_server.ts
+++ b/test/soak/soak_server.ts
@@ -7,47 +7,47 @@
 import {History} from './history.js';
 import {Link} from './link.js';
 
-/** How a server serves now; each may be switched while it runs. */
+/** Faults of a server; each may be switched while it runs. */
 export interface ServerFaults {
-  /** Takes requests and says nothing. */
-  dark: boolean;
-  /** Runs requests and resets their channels. */
+  /** Accepts requests and sends nothing. */
+  unresponsive: boolean;
+  /** Runs requests and resets their connections. */
   losesAnswers: boolean;
-  /** Breaks some answers off, and answers others with another's id. */
-  spoils: boolean;
-  /** Answers with a failure of its own. */
+  /** Cuts some answers off, and sends others with the id of another request. */
+  corruptsAnswers: boolean;
+  /** Answers with an error of its own. */
   fails: boolean;
-  /** Says that it has no room. */
-  sheds: boolean;
-  /** Names a limit in its answers. */
+  /** Answers that it has no capacity. */
+  shedsLoad: boolean;
+  /** Announces a limit in its answers. */
   limits: boolean;
 }
 
-/** What a server needs to know of its run. */
+/** Dependencies of a server. */
 export interface SoakServerOptions {
   readonly history: History;
   readonly getNowMs: () => number;
-  /** Told when it ends under the request that ends servers. */
-  readonly onEnd: (server: SoakServer) => void;
+  /** Called when the server crashes because of the request that crashes servers. */
+  readonly onCrash: (server: SoakServer) => void;
 }
 
-/** Requests a second that a server which limits them takes. */
-export const LIMIT = 1;
-const EVENTS = 8;
-const EVENT_MS = 15;
+/** Limit that a server announces, in requests per second. */
+export const LIMIT_PER_SECOND = 1;
+const EVENT_COUNT = 8;
+const EVENT_INTERVAL_MS = 15;
 const WORK_MS = 15;
-/** Headers that callers send or hosts set, and no server may see as they came. */
+/** Headers that callers send or hosts set, and that no server may see as they were sent. */
 const SECRET_HEADERS = ['credential', 'hold', 'kv-backup'];
 const STREAM_PREFIX = '/s/';
 
-/** A backend server, its entry's name, and the link by which it is reached. */
+/** A backend server, the name of its entry, and the link through which hosts reach it. */
 export class SoakServer {
   readonly faults: ServerFaults = {
-    dark: false,
+    unresponsive: false,
     losesAnswers: false,
-    spoils: false,
+    corruptsAnswers: false,
     fails: false,
-    sheds: false,
+    shedsLoad: false,
     limits: false,
   };
   readonly link: Link;
@@ -56,13 +56,13 @@
   private served = 0;
 
   /**
-   * @param name - What it calls itself.
-   * @param bornMs - Unix millisecond of its start; tells its starts apart.
-   * @param options - Its run.
+   * @param name - Name of the server and of its entry in the store.
+   * @param startedMs - Unix time of its start in milliseconds; distinguishes its incarnations.
+   * @param options - Dependencies of the server.
    */
   constructor(
     readonly name: string,
-    readonly bornMs: number,
+    readonly startedMs: number,
     private readonly options: SoakServerOptions,
   ) {
     this.server = new StandInServer((socket, request) =>
@@ -71,19 +71,19 @@
     this.link = new Link(() => this.port);
   }
 
-  /** Names this start. */
-  get start(): string {
-    return `${this.name}@${this.bornMs}`;
+  /** Identifies this incarnation. */
+  get incarnation(): string {
+    return `${this.name}@${this.startedMs}`;
   }
 
-  /** Starts to listen; returns the address by which hosts reach it. */
+  /** Starts listening; returns the address at which hosts reach it. */
   async listen(): Promise<string> {
     const address = await this.server.listen();
     this.port = Number(address.split(':')[1]);
     return this.link.listen();
   }
 
-  /** Ends at once, with all that it has under way. */
+  /** Terminates at once, with all requests in flight. */
   crash(): void {
     this.port = undefined;
     this.server.stop();
@@ -95,13 +95,13 @@
     const [method = '', path = ''] = line.split(' ');
     const id = headers.get('request-id') ?? '';
     if (headers.get('expected-instance') !== this.name) {
-      const more = ['Content-Length: 0'];
-      socket.write(formatHead(request, 421, more));
+      const headerLines = ['Content-Length: 0'];
+      socket.write(formatHead(request, 421, headerLines));
       return;
     }
     const arrival = {
       id,
-      server: this.start,
+      server: this.incarnation,
       atMs: this.options.getNowMs(),
       method,
       path,
@@ -114,21 +114,21 @@
     };
     this.options.history.arrivals.push(arrival);
     this.served++;
-    if (this.faults.sheds) {
-      const more = [
+    if (this.faults.shedsLoad) {
+      const headerLines = [
         'Not-Executed: 1',
         'Content-Length: 0',
-        ...this.listLimit(),
+        ...this.createLimitHeader(),
       ];
-      socket.write(formatHead(request, 503, more));
+      socket.write(formatHead(request, 503, headerLines));
       return;
     }
-    if (this.faults.dark) {
+    if (this.faults.unresponsive) {
       return;
     }
     arrival.ran = true;
     if (body === this.options.history.endingBody) {
-      setTimeout(() => this.options.onEnd(this), WORK_MS);
+      setTimeout(() => this.options.onCrash(this), WORK_MS);
       return;
     }
     if (path.startsWith(STREAM_PREFIX)) {
@@ -143,32 +143,32 @@
     request: SeenRequest,
     arrival: {readonly id: string; answer: string | undefined},
   ): void {
-    const {losesAnswers, spoils, fails} = this.faults;
+    const {losesAnswers, corruptsAnswers, fails} = this.faults;
     if (losesAnswers) {
       socket.resetAndDestroy();
       return;
     }
     const status = fails ? 500 : 200;
-    const body = `${arrival.id} by ${this.start}`;
-    const whole =
+    const body = `${arrival.id} by ${this.incarnation}`;
+    const response =
       formatHead(request, status, [
         `Content-Length: ${body.length}`,
-        ...this.listLimit(),
+        ...this.createLimitHeader(),
       ]) + body;
-    if (spoils && this.served % 2 === 0) {
-      socket.write(whole.slice(0, -5), () => socket.resetAndDestroy());
+    if (corruptsAnswers && this.served % 2 === 0) {
+      socket.write(response.slice(0, -5), () => socket.resetAndDestroy());
       return;
     }
-    if (spoils) {
-      socket.write(whole.replace(/Request-Id: .*/, 'Request-Id: another'));
+    if (corruptsAnswers) {
+      socket.write(response.replace(/Request-Id: .*/, 'Request-Id: another'));
       return;
     }
     arrival.answer = status === 200 ? body : undefined;
-    socket.write(whole);
+    socket.write(response);
   }
 
-  private listLimit(): string[] {
-    return this.faults.limits ? [`Server-Limit: ${LIMIT}`] : [];
+  private createLimitHeader(): string[] {
+    return this.faults.limits ? [`Server-Limit: ${LIMIT_PER_SECOND}`] : [];
   }
 
   private stream(
@@ -180,28 +180,31 @@
       formatHead(request, 200, [
         'Content-Type: text/event-stream',
         'Transfer-Encoding: chunked',
-        ...this.listLimit(),
+        ...this.createLimitHeader(),
       ]),
     );
     let event = after;
     const timer = setInterval(() => {
       event++;
-      if (event > EVENTS || socket.destroyed || this.port === undefined) {
+      if (event > EVENT_COUNT || socket.destroyed || this.port === undefined) {
         clearInterval(timer);
         socket.write('0\r\n\r\n');
         return;
       }
-      if (this.faults.losesAnswers || (this.faults.spoils && event > 3)) {
+      if (
+        this.faults.losesAnswers ||
+        (this.faults.corruptsAnswers && event > 3)
+      ) {
         clearInterval(timer);
         socket.resetAndDestroy();
         return;
       }
-      if (!this.faults.dark) {
+      if (!this.faults.unresponsive) {
         const text = `id: ${event}\ndata: ${id}.${event}\n\n`;
         socket.write(`${text.length.toString(16)}\r\n${text}\r\n`);
       } else {
         event--;
       }
-    }, EVENT_MS);
+    }, EVENT_INTERVAL_MS);
   }
 }
--- a/test/soak/soak_system.ts
+++ b/test/soak/soak_system.ts
@@ -1,12 +1,12 @@
 import {createServer, Server} from 'node:http';
 import {AddressInfo} from 'node:net';
 import {StandInStore} from '../platform/stand_in/stand_in_store.js';
-import {History, ObservedLeaving} from './history.js';
+import {History, LoggedLeaving} from './history.js';
 import {LARGE_RUN_HOSTS} from './schedule.js';
 import {SoakHost} from './soak_host.js';
 import {SoakServer} from './soak_server.js';
 
-/** Sizes of a system. */
+/** Number of hosts and servers in a system. */
 export interface SoakSize {
   readonly hosts: number;
   readonly servers: number;
@@ -14,35 +14,35 @@
 
 export const CUSTOMER = 'guild';
 export const KEY = 'k1';
-/** Customer with a low rate, which some callers press. */
-export const PRESSING_CUSTOMER = 'press';
-export const PRESSING_KEY = 'k2';
+/** Customer with a low rate, which one caller exceeds. */
+export const LOW_RATE_CUSTOMER = 'press';
+export const LOW_RATE_KEY = 'k2';
 export const HOST_NAME = 'desk.example';
-const CENTRES = ['tac', 'pdx'];
+const DATA_CENTRES = ['tac', 'pdx'];
 /** Data centres in large runs; hosts in two of them read the tables for all. */
-const LARGE_RUN_CENTRES = ['tac', 'pdx', 'geg'];
+const LARGE_RUN_DATA_CENTRES = ['tac', 'pdx', 'geg'];
 const POLL_MS = 10;
 const READY_POLL_MS = 300;
 /** Time limit for all hosts to become ready, with allowance for a busy machine. */
 const READY_TIMEOUT_MS = 60_000;
 const SERVICE = 'ledger';
-/** Time after an end at which the entry lapses, and at which the server is back. */
-const LAPSE_MS = 900;
-const BACK_MS = 1800;
-/** Time for which a server that leaves goes on after the store has its word. */
-const LEAVES_MS = 9000;
-/** Time after which the entry of a draining server is removed. */
+/** Time from a crash until the entry expires, and until the server is back, in milliseconds. */
+const ENTRY_EXPIRY_MS = 900;
+const SERVER_RESTART_MS = 1800;
+/** Time for which a leaving server runs after the store has recorded it, in milliseconds. */
+const LEAVING_SERVER_STOP_MS = 9000;
+/** Time after which the entry of a draining server is removed, in milliseconds. */
 const ENTRY_REMOVAL_MS = 2600;
 
-/** Store, cloud, servers and the real hosts before them, all on loopback. */
+/** Store, cloud, servers and the real hosts in front of them, all on loopback. */
 export class SoakSystem {
   readonly store = new StandInStore();
   readonly hosts: SoakHost[] = [];
   readonly servers: SoakServer[] = [];
-  /** Hosts that the balancer sends new channels to. */
+  /** Names of the hosts to which the balancer sends new connections. */
   readonly inRotation = new Set<string>();
   private readonly cloud: Server;
-  /** Where each start of a server is reached. */
+  /** Address at which each incarnation of a server is reached. */
   private readonly addresses = new Map<string, string>();
   private readonly startMs = performance.now();
   private readonly startedAt = new Date();
@@ -50,7 +50,7 @@
   private version = 0;
   private extraRoute = '';
   private stopped = false;
-  private bornMs = Date.now();
+  private lastServerStartMs = Date.now();
 
   constructor(
     private readonly size: SoakSize,
@@ -59,23 +59,23 @@
   ) {
     this.cloud = createServer((request, response) => {
       let text = '';
-      request.on('data', piece => (text += String(piece)));
+      request.on('data', chunk => (text += String(chunk)));
       request.on('end', () => {
-        this.noteDuty(request.headers, text);
+        this.recordDutyCall(request.headers, text);
         response.end('{}');
       });
     });
   }
 
-  /** Returns the time of the run, in milliseconds. */
+  /** Returns the time since the start of the run, in milliseconds. */
   getNowMs(): number {
     return performance.now() - this.startMs;
   }
 
   /** Lists when each host logged servers as draining or gone. */
-  listObservedLeavings(): ObservedLeaving[] {
-    return this.hosts.flatMap(({options: {name: host}, observedLeavings}) =>
-      observedLeavings.map(({server, at}) => ({
+  listLoggedLeavings(): LoggedLeaving[] {
+    return this.hosts.flatMap(({options: {name: host}, loggedLeavings}) =>
+      loggedLeavings.map(({server, at}) => ({
         host,
         server,
         atMs: at.getTime() - this.startedAt.getTime(),
@@ -83,7 +83,7 @@
     );
   }
 
-  /** Starts everything; returns once every host is ready. */
+  /** Starts everything; resolves once every host is ready. */
   async start(): Promise<void> {
     this.storePort = Number((await this.store.listen()).split(':')[1]);
     await new Promise<void>(resolve => {
@@ -107,7 +107,7 @@
       host.start();
       this.hosts.push(host);
     }
-    void this.balance();
+    void this.runHealthChecks();
     await this.waitUntilReady();
   }
 
@@ -128,13 +128,13 @@
     return this.hosts
       .filter(({options: {name}}) => !this.inRotation.has(name))
       .map(
-        ({options: {name}, lines}) =>
-          `${name} (${lines.at(-1) ?? 'no log output'})`,
+        ({options: {name}, logLines}) =>
+          `${name} (${logLines.at(-1) ?? 'no log output'})`,
       )
       .join(', ');
   }
 
-  /** Ends every process and listener that was started here. */
+  /** Terminates every process and listener that was started here. */
   async stop(): Promise<void> {
     this.stopped = true;
     await Promise.all(this.hosts.map(host => host.stop()));
@@ -146,7 +146,7 @@
     this.cloud.closeAllConnections();
   }
 
-  /** Returns the hosts that new channels go to: all where none is ready. */
+  /** Returns the hosts to which new connections go: all if none is in rotation. */
   listInRotation(): readonly SoakHost[] {
     const ready = this.hosts.filter(({options}) =>
       this.inRotation.has(options.name),
@@ -154,7 +154,7 @@
     return ready.length > 0 ? ready : this.hosts;
   }
 
-  /** Returns a host by its number; numbers wrap around. */
+  /** Returns a host by its index; indexes wrap around. */
   getHost(number: number): SoakHost {
     const host = this.hosts[number % this.hosts.length];
     if (host === undefined) {
@@ -163,7 +163,7 @@
     return host;
   }
 
-  /** Returns a server that serves, by its number; numbers wrap around. */
+  /** Returns a server that has neither crashed nor left, by its index; indexes wrap around. */
   getServer(number: number): SoakServer | undefined {
     return this.servers[number % Math.max(1, this.servers.length)];
   }
@@ -178,39 +178,41 @@
     return this.getHost(0);
   }
 
-  /** Kills a host's process; it starts again after a while. */
-  async killHost(host: SoakHost, downMs: number): Promise<void> {
-    await host.end('SIGKILL', downMs);
+  /** Kills a host's process; it is restarted after a delay. */
+  async killHost(host: SoakHost, restartDelayMs: number): Promise<void> {
+    await host.terminate('SIGKILL', restartDelayMs);
     this.inRotation.delete(host.options.name);
   }
 
-  /** Stops a host as planned; it starts again. */
+  /** Stops a host as planned; it is restarted. */
   async stopHost(host: SoakHost): Promise<void> {
-    await host.end('SIGTERM');
+    await host.terminate('SIGTERM');
     this.inRotation.delete(host.options.name);
   }
 
-  /** Ends a server; it is back under another name, or under its own. */
-  async crashServer(server: SoakServer, underItsName = false): Promise<void> {
+  /** Crashes a server; it restarts under another name, or under its own. */
+  async crashServer(server: SoakServer, keepsName = false): Promise<void> {
     const index = this.servers.indexOf(server);
     if (index < 0) {
       return;
     }
     this.servers.splice(index, 1);
     server.crash();
-    if (underItsName) {
-      await wait(BACK_MS);
+    if (keepsName) {
+      await wait(SERVER_RESTART_MS);
       await this.startServer(server.name);
       return;
     }
-    await wait(LAPSE_MS);
+    await wait(ENTRY_EXPIRY_MS);
     this.store.remove('servers', server.name);
-    await wait(BACK_MS - LAPSE_MS);
-    await this.startServer(`${server.name.split('.')[0]}.${++this.bornMs}`);
+    await wait(SERVER_RESTART_MS - ENTRY_EXPIRY_MS);
+    await this.startServer(
+      `${server.name.split('.')[0]}.${++this.lastServerStartMs}`,
+    );
   }
 
   /**
-   * Has a server leave as planned; another takes its place.
+   * Makes a server leave as planned; another one replaces it.
    * @param server - The server.
    * @param isAnnounced - Whether it is marked as draining before its entry is removed.
    */
@@ -220,19 +222,21 @@
       return;
     }
     this.servers.splice(index, 1);
-    await this.startServer(`${server.name.split('.')[0]}.${++this.bornMs}`);
+    await this.startServer(
+      `${server.name.split('.')[0]}.${++this.lastServerStartMs}`,
+    );
     if (isAnnounced) {
       this.register(server, 'draining');
     } else {
       this.store.remove('servers', server.name);
     }
     const atMs = this.getNowMs();
-    this.history.leavings.push({server: server.start, atMs});
+    this.history.leavings.push({server: server.incarnation, atMs});
     await wait(ENTRY_REMOVAL_MS);
     if (isAnnounced) {
       this.store.remove('servers', server.name);
     }
-    await wait(LEAVES_MS - ENTRY_REMOVAL_MS);
+    await wait(LEAVING_SERVER_STOP_MS - ENTRY_REMOVAL_MS);
     server.crash();
   }
 
@@ -253,10 +257,10 @@
       tenants: [
         {name: CUSTOMER, api_keys: [KEY]},
         {
-          name: PRESSING_CUSTOMER,
-          api_keys: [PRESSING_KEY],
-          rate_per_s: this.history.bounds.rates.get(PRESSING_CUSTOMER)?.[0],
-          burst: this.history.bounds.rates.get(PRESSING_CUSTOMER)?.[1],
+          name: LOW_RATE_CUSTOMER,
+          api_keys: [LOW_RATE_KEY],
+          rate_per_s: this.history.bounds.rates.get(LOW_RATE_CUSTOMER)?.[0],
+          burst: this.history.bounds.rates.get(LOW_RATE_CUSTOMER)?.[1],
         },
       ],
       limits: {idle_timeout_ms: 4000},
@@ -269,7 +273,7 @@
     });
   }
 
-  /** Returns the paths that changes have added, the last two of them. */
+  /** Returns the paths of the two routes that changes added last. */
   listExtraRoutes(): string[] {
     return this.history.changes.slice(-2).map(({added}) => added);
   }
@@ -278,12 +282,12 @@
     if (this.stopped) {
       return;
     }
-    const server: SoakServer = new SoakServer(name, ++this.bornMs, {
+    const server: SoakServer = new SoakServer(name, ++this.lastServerStartMs, {
       history: this.history,
       getNowMs: () => this.getNowMs(),
-      onEnd: ending => {
+      onCrash: crashed => {
         this.history.endsMs.push(this.getNowMs());
-        void this.crashServer(ending);
+        void this.crashServer(crashed);
       },
     });
     const address = await server.listen();
@@ -296,11 +300,11 @@
   }
 
   private register(
-    {start, name, bornMs}: SoakServer,
+    {incarnation, name, startedMs}: SoakServer,
     state: string,
-    address = this.addresses.get(start) ?? '',
+    address = this.addresses.get(incarnation) ?? '',
   ): void {
-    this.addresses.set(start, address);
+    this.addresses.set(incarnation, address);
     this.store.put('servers', name, {
       service: SERVICE,
       address,
@@ -310,17 +314,17 @@
       state,
       cold_remaining_ms: 0,
       sequence: 1,
-      born: bornMs,
+      born: startedMs,
     });
   }
 
   private getDataCentre(index: number): string {
     const isLargeRun = this.size.hosts >= LARGE_RUN_HOSTS;
-    const centres = isLargeRun ? LARGE_RUN_CENTRES : CENTRES;
-    return centres[index % centres.length] ?? '';
+    const dataCentres = isLargeRun ? LARGE_RUN_DATA_CENTRES : DATA_CENTRES;
+    return dataCentres[index % dataCentres.length] ?? '';
   }
 
-  private noteDuty(
+  private recordDutyCall(
     headers: Readonly<Record<string, unknown>>,
     text: string,
   ): void {
@@ -337,17 +341,20 @@
     });
   }
 
-  /** Asks every host whether it is ready; two misses take it out. */
-  private async balance(): Promise<void> {
-    const misses = new Map<string, number>();
+  /** Polls the readiness of every host; two failed checks in a row take it out of rotation. */
+  private async runHealthChecks(): Promise<void> {
+    const failedChecks = new Map<string, number>();
     while (!this.stopped) {
       await Promise.all(
         this.hosts.map(async ({options: {name}, ready}) => {
-          const isReady = await asksReady(ready);
-          misses.set(name, isReady ? 0 : (misses.get(name) ?? 0) + 1);
+          const isReady = await isHostReady(ready);
+          failedChecks.set(
+            name,
+            isReady ? 0 : (failedChecks.get(name) ?? 0) + 1,
+          );
           if (isReady) {
             this.inRotation.add(name);
-          } else if ((misses.get(name) ?? 0) > 1) {
+          } else if ((failedChecks.get(name) ?? 0) > 1) {
             this.inRotation.delete(name);
           }
         }),
@@ -357,12 +364,12 @@
   }
 }
 
-/** Waits for a span of time. */
+/** Resolves after a number of milliseconds. */
 export function wait(ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-async function asksReady(address: string): Promise<boolean> {
+async function isHostReady(address: string): Promise<boolean> {
   try {
     const answer = await fetch(`http://${address}/readiness`, {
       signal: AbortSignal.timeout(1000),
--- a/test/soak/soak_test.ts
+++ b/test/soak/soak_test.ts
@@ -3,11 +3,11 @@
 import {drawSchedule} from './schedule.js';
 
 /**
- * A short soak with one seed. Bounds of time are left to the long one, which is
- * started by hand: a busy machine could break them.
+ * A short soak with one seed. Checks with time bounds are left to the long soak, which is
+ * started manually: a busy machine could exceed these bounds.
  */
-describe('the real programs under faults', () => {
-  it('keep what they promise', async () => {
+describe('the real programs under injected faults', () => {
+  it('keep their guarantees', async () => {
     const schedule = drawSchedule(1, 3, 10_000);
     const {violations, history} = await runSoak(schedule, false);
     expect(violations).to.deep.equal([]);
