--- a/src/prove/all_proofs.ts
+++ b/src/prove/all_proofs.ts
@@ -6,15 +6,15 @@
   stopsCutNothing,
 } from './call_proofs.js';
 import {configurationHolds} from './configuration_proof.js';
-import {leasesExclude} from './lease_world.js';
-import {leavingGetsNothing} from './leaving_world.js';
+import {leasesExclude} from './lease_simulation.js';
+import {leavingGetsNothing} from './leaving_simulation.js';
 import {prove, ProofOptions, ProofResult} from './proof.js';
 import {reclaimCutsNothing, wholeStreams} from './stream_proofs.js';
 
-/** Runs one promise. */
+/** Checks one promise against generated schedules. */
 export type RunProof = (options: ProofOptions) => Promise<ProofResult>;
 
-/** Every promise that is proved by generated histories, by name. */
+/** Every promise that is checked by generated histories, by name. */
 export const PROOFS: ReadonlyMap<string, RunProof> = new Map<string, RunProof>([
   [atMostOnce.name, options => prove(atMostOnce, options)],
   [refusalsAreTrue.name, options => prove(refusalsAreTrue, options)],
--- a/src/prove/call_proofs.ts
+++ b/src/prove/call_proofs.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check';
 import {
-  countTold,
-  findCrossedAnswers,
-  findCutOff,
-  findDoubled,
+  countOutcomes,
+  findMismatchedAnswers,
+  findUnanswered,
+  findRepeatedRuns,
   findFalseRefusals,
   findLostAcceptances,
 } from './check_calls.js';
@@ -13,41 +13,41 @@
   createStopSchedules,
 } from './call_schedule.js';
 import {CallVariant} from './call_variant.js';
-import {CallWorld} from './call_world.js';
+import {CallSimulation} from './call_simulation.js';
 import {History} from './history.js';
 import {Proof, RunReport} from './proof.js';
 
-/** Finds what breaks a promise in a history. */
+/** Returns the violations of a promise in a history, one text each. */
 type Check = (history: History) => string[];
 
-/** A call that may not be repeated runs at most once. */
+/** A call that must not be repeated runs at most once. */
 export const atMostOnce = createProof(
   'at-most-once',
   'dispatches before the record is durable',
-  {dispatchesFirst: true},
+  {dispatchesBeforeRecording: true},
   createCallSchedules(true),
-  findDoubled,
+  findRepeatedRuns,
 );
 
-/** What is said not to have run has not, and never will. */
+/** A call that is reported as not executed has not run and never will. */
 export const refusalsAreTrue = createProof(
   'refusals-are-true',
-  'takes a lost answer for a call that was not sent',
-  {trustsSilence: true},
+  'treats a lost answer as a call that was not sent',
+  {treatsLostAsNotSent: true},
   createCallSchedules(true),
   findFalseRefusals,
 );
 
-/** Each caller gets the whole answer to its own call. */
+/** Each caller receives the complete answer to its own call. */
 export const ownAnswers = createProof(
   'own-answers',
-  'passes on the answer of another call',
-  {crossesAnswers: true},
+  'returns the answer to another call',
+  {returnsOtherAnswers: true},
   createCallSchedules(true),
-  findCrossedAnswers,
+  findMismatchedAnswers,
 );
 
-/** An accepted call survives every announced departure. */
+/** An accepted call survives every announced shutdown of a host. */
 export const acceptedSurvives = createProof(
   'accepted-survives',
   'hands books over without their entries',
@@ -56,13 +56,13 @@
   findLostAcceptances,
 );
 
-/** A planned stop cuts off no request in flight. */
+/** A planned shutdown aborts no in-flight request. */
 export const stopsCutNothing = createProof(
   'stops-cut-nothing',
-  'ends the process at once',
-  {stopsAtOnce: true},
+  'terminates the process at once',
+  {terminatesAtOnce: true},
   createStopSchedules(),
-  findCutOff,
+  findUnanswered,
   true,
 );
 
@@ -72,15 +72,18 @@
   variant: CallVariant,
   schedules: fc.Arbitrary<CallSchedule>,
   check: Check,
-  balances = false,
+  usesBalancer = false,
 ): Proof<CallSchedule> {
   return {
     name,
     variant: variantText,
     schedules,
     run: async (schedule, broken) => {
-      const world = new CallWorld(broken ? variant : {}, balances);
-      return report(await world.run(schedule), check);
+      const simulation = new CallSimulation(
+        broken ? variant : {},
+        usesBalancer,
+      );
+      return report(await simulation.run(schedule), check);
     },
   };
 }
@@ -91,8 +94,10 @@
     violations: check(history),
     operations: operations.length,
     faults: history.faults,
-    answered: countTold(history, 'answered') + countTold(history, 'accepted'),
-    refused: countTold(history, 'did-not-run'),
-    unknown: countTold(history, 'unknown') + countTold(history, 'nothing'),
+    answered:
+      countOutcomes(history, 'answered') + countOutcomes(history, 'accepted'),
+    refused: countOutcomes(history, 'did-not-run'),
+    unknown:
+      countOutcomes(history, 'unknown') + countOutcomes(history, 'nothing'),
   };
 }
--- a/src/prove/proof_call.ts
+++ b/src/prove/call_request.ts
@@ -6,15 +6,15 @@
   OutcomeKind,
   RecordedAnswer,
 } from '../journal/index.js';
-import {Told} from './history.js';
+import {CallerOutcome} from './history.js';
 
-/** One sending of a call. */
-export interface ProofCall {
+/** One request of a caller; retries of a call share its key. */
+export interface CallRequest {
   readonly key: string;
-  /** Differs for every sending. */
+  /** Unique for every request. */
   readonly instance: string;
   readonly payload: string;
-  /** Monotonic milliseconds. */
+  /** Deadline on the monotonic clock, in milliseconds. */
   readonly deadlineMs: number;
   readonly respondAsync: boolean;
 }
@@ -22,16 +22,16 @@
 const CUSTOMER = 'north-house';
 const DEPLOYMENT = 'bids';
 
-/** Returns the key of the entry that a call's key makes. */
-export function getProofEntryKey(key: string): string {
+/** Returns the journal entry key for a call's key. */
+export function getRequestEntryKey(key: string): string {
   return getEntryKey(CUSTOMER, key);
 }
 
-/** Makes the order that a host gets for a call. */
-export function createProofOrder(call: ProofCall): CallOrder {
+/** Creates the call order that a host receives for a request. */
+export function createCallOrder(call: CallRequest): CallOrder {
   const {key, instance, payload, deadlineMs, respondAsync} = call;
   return {
-    entryKey: getProofEntryKey(key),
+    entryKey: getRequestEntryKey(key),
     requestId: `id-of-${key}`,
     customer: CUSTOMER,
     deployment: DEPLOYMENT,
@@ -51,8 +51,10 @@
   };
 }
 
-/** Returns what an outcome tells its caller. */
-export function toTold(outcome: CallOutcome | undefined): Told {
+/** Converts a call outcome, or its absence, to what the caller receives. */
+export function toCallerOutcome(
+  outcome: CallOutcome | undefined,
+): CallerOutcome {
   switch (outcome?.kind) {
     case OutcomeKind.ANSWERED:
       return 'answered';
@@ -67,7 +69,7 @@
   }
 }
 
-/** Returns the body of an answer. */
+/** Decodes the body of a recorded answer as text. */
 export function readAnswer(answer: RecordedAnswer): string {
   return Buffer.from(answer.bodyBase64 ?? '', 'base64').toString();
 }
--- a/src/prove/call_schedule.ts
+++ b/src/prove/call_schedule.ts
@@ -1,17 +1,17 @@
 import fc from 'fast-check';
 import {TableFault} from './faulty_table.js';
 
-/** Faults of the back end in proofs. */
+/** Injected faults of the back end. */
 export const ServiceFault = {
   NONE: 'none',
   /** Connections are refused: nothing is sent. */
   REFUSES: 'refuses',
-  /** It runs the call; the answer is lost. */
+  /** The call runs; the answer is lost. */
   ANSWER_LOST: 'answer-lost',
-  /** The call is lost on the way, but may have been sent. */
+  /** The call never runs, but the sender cannot tell whether it was received. */
   CALL_LOST: 'call-lost',
-  /** The call arrives and runs long after it was given up. */
-  LATE: 'late',
+  /** The call runs long after the sender has stopped waiting for it. */
+  DELAYED: 'late',
 } as const;
 export type ServiceFault = (typeof ServiceFault)[keyof typeof ServiceFault];
 
@@ -41,24 +41,24 @@
   | {readonly kind: 'restart'; readonly host: number}
   | {readonly kind: 'duplicate'; readonly forMs: number};
 
-/** A schedule: each step comes a while after the one before. */
+/** Steps in order; `afterMs` is the delay since the previous step. */
 export type CallSchedule = readonly {
   readonly afterMs: number;
   readonly step: CallStep;
 }[];
 
-/** Hosts that a schedule speaks of. */
-export const HOSTS = 3;
-/** Keys that a schedule speaks of. */
-export const KEYS = 4;
+/** Number of hosts that a schedule refers to. */
+export const HOST_COUNT = 3;
+/** Number of idempotency keys that a schedule uses. */
+export const KEY_COUNT = 4;
 
-const host = fc.integer({min: 0, max: HOSTS - 1});
+const host = fc.integer({min: 0, max: HOST_COUNT - 1});
 const forMs = fc.integer({min: 100, max: 6000});
 
 const call = fc.record({
   kind: fc.constant('call' as const),
   host,
-  key: fc.integer({min: 0, max: KEYS - 1}),
+  key: fc.integer({min: 0, max: KEY_COUNT - 1}),
   async: fc.boolean(),
   timeoutMs: fc.constantFrom(300, 1500, 5000),
 });
@@ -77,9 +77,9 @@
 ];
 
 /**
- * Schedules of calls and faults.
- * @param unannounced - Whether hosts may die without notice and back ends may
- *   lose calls; without it every departure is announced.
+ * Generates schedules of calls and faults.
+ * @param unannounced - Whether hosts may crash without notice and the back end
+ *   may lose or delay calls; if false, every shutdown of a host is announced.
  */
 export function createCallSchedules(
   unannounced: boolean,
@@ -107,7 +107,7 @@
   );
 }
 
-/** Schedules of calls and planned stops, with nothing else going wrong. */
+/** Generates schedules of calls and planned restarts, without any fault. */
 export function createStopSchedules(): fc.Arbitrary<CallSchedule> {
   const restart = fc.record({kind: fc.constant('restart' as const), host});
   const step: fc.Arbitrary<CallStep> = fc.oneof(
--- a/src/prove/call_world.ts
+++ b/src/prove/call_simulation.ts
@@ -4,70 +4,75 @@
 import {MemoryTableService} from '../table/index.js';
 import {CallMessage, fromCallMessage, OnceCall} from '../service/index.js';
 import {VirtualClock} from '../time/index.js';
-import {CallSchedule, CallStep, HOSTS, ServiceFault} from './call_schedule.js';
+import {
+  CallSchedule,
+  CallStep,
+  HOST_COUNT,
+  ServiceFault,
+} from './call_schedule.js';
 import {FaultyTable, TableFault} from './faulty_table.js';
 import {CallVariant} from './call_variant.js';
 import {History, Recorder} from './history.js';
-import {ProofBackEnd} from './proof_back_end.js';
-import {createProofOrder, readAnswer, toTold} from './proof_call.js';
-import {isLive, ProofHost} from './proof_host.js';
-import {startProofHost} from './start_proof_host.js';
+import {FakeBackEnd} from './fake_back_end.js';
+import {createCallOrder, readAnswer, toCallerOutcome} from './call_request.js';
+import {isLive, SimulatedHost} from './simulated_host.js';
+import {startSimulatedHost} from './start_simulated_host.js';
 
-const PEER_MS = 3;
+const PEER_LATENCY_MS = 3;
 const SETTLE_MS = 40_000;
-const WATCH_MS = 1000;
-const RETRY_MS = 100;
-const RETRIES = 2;
+const WATCH_INTERVAL_MS = 1000;
+const RETRY_DELAY_MS = 100;
+const MAX_RETRIES = 2;
 const NOTICE_MS = 15_000;
 
 /**
- * Three entry hosts of the product's own books and calls, on a virtual clock,
- * with small fakes at the interfaces: table, peers and back end.
+ * Simulates three entry hosts that run the product's own journal and call
+ * handling on a virtual clock. The table, the peer connections and the back end are fakes.
  */
-export class CallWorld {
+export class CallSimulation {
   private readonly clock = new VirtualClock();
   private readonly table = new FaultyTable(
     new MemoryTableService(),
     this.clock,
   );
   private readonly recorder = new Recorder();
-  private readonly hosts: ProofHost[] = [];
-  private readonly backEnd: ProofBackEnd;
-  private duplicating = false;
-  private starts = 0;
-  private asks = 0;
-  /** Keys that were sent before: callers know that of their own. */
-  private readonly askedKeys = new Set<string>();
+  private readonly hosts: SimulatedHost[] = [];
+  private readonly backEnd: FakeBackEnd;
+  private duplicatesRequests = false;
+  private incarnationCount = 0;
+  private requestCount = 0;
+  /** Keys already sent: a caller knows whether its request is a retry. */
+  private readonly sentKeys = new Set<string>();
 
   /**
-   * @param variant - What is broken, if anything.
-   * @param balances - Whether callers come through a balancer that asks hosts
-   *   whether they are ready; without it they also ask hosts that leave.
+   * @param variant - Defects of the broken variant; empty for the product.
+   * @param usesBalancer - Whether callers connect through a load balancer that
+   *   skips hosts that are not ready; otherwise they also reach leaving hosts.
    */
   constructor(
     private readonly variant: CallVariant,
-    private readonly balances: boolean,
+    private readonly usesBalancer: boolean,
   ) {
-    this.backEnd = new ProofBackEnd(this.clock, this.recorder, variant);
+    this.backEnd = new FakeBackEnd(this.clock, this.recorder, variant);
   }
 
   /**
-   * Runs a schedule to its end.
+   * Runs a schedule to completion.
    * @param schedule - Calls and faults.
-   * @returns What callers and the back end saw.
+   * @returns What callers and the back end observed.
    */
   async run(schedule: CallSchedule): Promise<History> {
-    for (let index = 0; index < HOSTS; index++) {
+    for (let index = 0; index < HOST_COUNT; index++) {
       this.hosts.push(this.startHost(index));
     }
-    await this.clock.advance(WATCH_MS * 2);
+    await this.clock.advance(WATCH_INTERVAL_MS * 2);
     for (const {afterMs, step} of schedule) {
       await this.clock.advance(afterMs);
       this.execute(step);
     }
     await this.clock.advance(SETTLE_MS / 2);
     if (!this.hosts.some(host => isLive(host))) {
-      // The platform replaces hosts: what was accepted waits for the next one.
+      // The platform replaces hosts: accepted calls wait for the replacement.
       this.hosts[0] = this.startHost(0);
     }
     await this.clock.advance(SETTLE_MS);
@@ -80,22 +85,25 @@
 
   private execute(step: CallStep): void {
     if (step.kind === 'call') {
-      void this.ask(step);
+      void this.sendCall(step);
       return;
     }
     this.recorder.addFault();
     switch (step.kind) {
       case 'table':
         this.table.fault = step.fault;
-        this.after(step.forMs, () => (this.table.fault = TableFault.NONE));
+        this.runAfter(step.forMs, () => (this.table.fault = TableFault.NONE));
         return;
       case 'service':
         this.backEnd.fault = step.fault;
-        this.after(step.forMs, () => (this.backEnd.fault = ServiceFault.NONE));
+        this.runAfter(
+          step.forMs,
+          () => (this.backEnd.fault = ServiceFault.NONE),
+        );
         return;
       case 'duplicate':
-        this.duplicating = true;
-        this.after(step.forMs, () => (this.duplicating = false));
+        this.duplicatesRequests = true;
+        this.runAfter(step.forMs, () => (this.duplicatesRequests = false));
         return;
       default:
         this.executeOnHost(step);
@@ -109,11 +117,11 @@
     switch (step.kind) {
       case 'freeze':
         host.gate.freeze();
-        this.after(step.forMs, () => host.gate.thaw());
+        this.runAfter(step.forMs, () => host.gate.thaw());
         return;
       case 'cut':
         host.cut = true;
-        this.after(step.forMs, () => (host.cut = false));
+        this.runAfter(step.forMs, () => (host.cut = false));
         return;
       case 'kill':
         this.recorder.addCrash();
@@ -131,13 +139,13 @@
     }
   }
 
-  /** Leaves as the product does: hands books over, then ends. */
-  private async leave(host: ProofHost): Promise<void> {
+  /** Shuts down as the product does: hands its books over, then terminates. */
+  private async leave(host: SimulatedHost): Promise<void> {
     if (host.leaving || host.gate.isDead()) {
       return;
     }
     host.leaving = true;
-    if (this.variant.stopsAtOnce === true) {
+    if (this.variant.terminatesAtOnce === true) {
       host.stop.abort();
       host.gate.kill();
       return;
@@ -150,20 +158,20 @@
     await Promise.race([handedOver, this.clock.sleep(NOTICE_MS)]);
     while (host.bookkeeper.countPending() + host.inFlight > 0) {
       if (this.clock.monotonicMs() >= endMs) {
-        // Neither a peer nor the table could be reached in all the notice.
+        // Neither a peer nor the table was reachable within the notice period.
         this.recorder.addCrash();
         break;
       }
-      await this.clock.sleep(RETRY_MS);
+      await this.clock.sleep(RETRY_DELAY_MS);
     }
-    await this.clock.sleep(WATCH_MS);
+    await this.clock.sleep(WATCH_INTERVAL_MS);
     host.stop.abort();
     host.gate.kill();
   }
 
-  private async restart(index: number, host: ProofHost): Promise<void> {
-    if (this.balances && host.leaving && !host.gate.isDead()) {
-      // A planned stop is under way; a second one changes nothing.
+  private async restart(index: number, host: SimulatedHost): Promise<void> {
+    if (this.usesBalancer && host.leaving && !host.gate.isDead()) {
+      // A planned shutdown is in progress; a second one has no effect.
       return;
     }
     await this.leave(host);
@@ -175,19 +183,22 @@
     this.hosts[index] = this.startHost(index);
   }
 
-  /** Asks as a caller does: again through the next host, while told to. */
-  private async ask(
+  /**
+   * Sends a call as a caller does: retries through the next host until the call
+   * is answered or accepted, at most `MAX_RETRIES` times.
+   */
+  private async sendCall(
     step: Extract<CallStep, {readonly kind: 'call'}>,
   ): Promise<void> {
     const key = `key-${step.key}`;
-    for (let retry = 0; retry <= RETRIES; retry++) {
+    for (let retry = 0; retry <= MAX_RETRIES; retry++) {
       const host = this.chooseHost(step.host + retry);
       if (host === undefined) {
-        // No host is ready, so the balancer has nowhere to send it.
-        await this.clock.sleep(RETRY_MS);
+        // No host is ready, so the balancer cannot forward the call.
+        await this.clock.sleep(RETRY_DELAY_MS);
         continue;
       }
-      const instance = `ask-${this.asks++}`;
+      const instance = `ask-${this.requestCount++}`;
       const payload = `payload of ${key}`;
       this.recorder.add({
         kind: 'asked',
@@ -196,43 +207,43 @@
         key,
         payload,
       });
-      const order = createProofOrder({
+      const order = createCallOrder({
         key,
         instance,
         payload,
         deadlineMs: this.clock.monotonicMs() + step.timeoutMs,
         respondAsync: step.async,
       });
-      const firstAttempt = !this.askedKeys.has(key);
-      this.askedKeys.add(key);
+      const firstAttempt = !this.sentKeys.has(key);
+      this.sentKeys.add(key);
       const call = {order, key, firstAttempt};
       host.inFlight++;
       const outcome = await this.callHost(host, call);
       host.inFlight--;
-      const told = toTold(outcome);
+      const callerOutcome = toCallerOutcome(outcome);
       this.recorder.add({
         kind: 'told',
         atMs: this.clock.monotonicMs(),
         instance,
         key,
-        told,
+        outcome: callerOutcome,
         ...(outcome?.kind === OutcomeKind.ANSWERED
           ? {payload: readAnswer(outcome.answer)}
           : {}),
       });
-      if (told === 'answered' || told === 'accepted') {
+      if (callerOutcome === 'answered' || callerOutcome === 'accepted') {
         return;
       }
-      await this.clock.sleep(RETRY_MS);
+      await this.clock.sleep(RETRY_DELAY_MS);
     }
   }
 
-  /** With a balancer, hosts that leave or are dead get nothing new. */
-  private chooseHost(index: number): ProofHost | undefined {
-    if (!this.balances) {
+  /** A balancer sends no new call to a host that is leaving or dead. */
+  private chooseHost(index: number): SimulatedHost | undefined {
+    if (!this.usesBalancer) {
       return this.getHost(index);
     }
-    for (let turn = 0; turn < HOSTS; turn++) {
+    for (let turn = 0; turn < HOST_COUNT; turn++) {
       const host = this.getHost(index + turn);
       if (!host.leaving && !host.gate.isDead()) {
         return host;
@@ -241,23 +252,23 @@
     return undefined;
   }
 
-  /** Resolves to nothing when the host dies before it answers. */
+  /** Resolves to `undefined` when the host is dead or does not answer in time. */
   private async callHost(
-    host: ProofHost,
+    host: SimulatedHost,
     call: OnceCall,
   ): Promise<CallOutcome | undefined> {
     const limitMs = call.order.deadlineMs - this.clock.monotonicMs() + 10_000;
-    const nothing = this.clock.sleep(limitMs).then(() => undefined);
-    const asked = host.gate.isDead()
+    const noAnswer = this.clock.sleep(limitMs).then(() => undefined);
+    const answered = host.gate.isDead()
       ? Promise.resolve(undefined)
       : host.gate.call(() => host.calls.run(call));
-    return Promise.race([asked, nothing]);
+    return Promise.race([answered, noAnswer]);
   }
 
-  private startHost(index: number): ProofHost {
-    return startProofHost({
+  private startHost(index: number): SimulatedHost {
+    return startSimulatedHost({
       name: `host-${index}`,
-      incarnation: `start${this.starts++}`,
+      incarnation: `start${this.incarnationCount++}`,
       clock: this.clock,
       table: this.table,
       variant: this.variant,
@@ -284,17 +295,17 @@
       source?.cut === true ||
       kind !== 'run-call'
     ) {
-      await this.clock.sleep(PEER_MS);
+      await this.clock.sleep(PEER_LATENCY_MS);
       return Result.err(
         new PeerFailure(PeerFailureKind.NOT_SENT, 'no connection'),
       );
     }
     const deliver = async () => {
-      await this.clock.sleep(PEER_MS);
+      await this.clock.sleep(PEER_LATENCY_MS);
       const order = fromCallMessage(call, this.clock.monotonicMs());
       return target.gate.call(() => target.bookkeeper.run(call.book, order));
     };
-    if (this.duplicating) {
+    if (this.duplicatesRequests) {
       void this.clock.sleep(timeoutMs / 2).then(deliver);
     }
     const reply = deliver().then(value =>
@@ -310,15 +321,15 @@
     return Promise.race([reply, lost]);
   }
 
-  private getHost(index: number): ProofHost {
-    const host = this.hosts[index % HOSTS];
+  private getHost(index: number): SimulatedHost {
+    const host = this.hosts[index % HOST_COUNT];
     if (host === undefined) {
-      throw new Error(`there is no host ${index}`);
+      throw new Error(`no host with index ${index}`);
     }
     return host;
   }
 
-  private after(ms: number, act: () => void): void {
+  private runAfter(ms: number, act: () => void): void {
     void this.clock.sleep(ms).then(act);
   }
 }
--- a/src/prove/check_calls.ts
+++ b/src/prove/check_calls.ts
@@ -1,10 +1,10 @@
 import {History, HistoryEvent} from './history.js';
 
-type Ran = Extract<HistoryEvent, {kind: 'ran'}>;
-type ToldEvent = Extract<HistoryEvent, {kind: 'told'}>;
+type RunEvent = Extract<HistoryEvent, {kind: 'ran'}>;
+type OutcomeEvent = Extract<HistoryEvent, {kind: 'told'}>;
 
-/** Finds keys that ran more than once. */
-export function findDoubled(history: History): string[] {
+/** Finds keys whose call ran more than once. */
+export function findRepeatedRuns(history: History): string[] {
   const runs = new Map<string, number>();
   for (const run of listRuns(history)) {
     runs.set(run.key, (runs.get(run.key) ?? 0) + 1);
@@ -18,20 +18,22 @@
   return violations;
 }
 
-/** Finds requests that ran although their caller was told that they did not. */
+/** Finds requests that ran although they were reported as not executed. */
 export function findFalseRefusals(history: History): string[] {
   const ran = new Set(listRuns(history).map(run => run.instance));
   const violations: string[] = [];
-  for (const told of listTold(history)) {
-    if (told.told === 'did-not-run' && ran.has(told.instance)) {
-      violations.push(`${told.instance} was refused, and ran`);
+  for (const event of listOutcomes(history)) {
+    if (event.outcome === 'did-not-run' && ran.has(event.instance)) {
+      violations.push(
+        `${event.instance} was reported as not executed, but ran`,
+      );
     }
   }
   return violations;
 }
 
-/** Finds answers that are not the answer to their caller's own request. */
-export function findCrossedAnswers(history: History): string[] {
+/** Finds answers that do not belong to the caller's own request. */
+export function findMismatchedAnswers(history: History): string[] {
   const asked = new Map<string, string>();
   const ran = new Set(listRuns(history).map(run => run.key));
   for (const event of history.events) {
@@ -40,23 +42,25 @@
     }
   }
   const violations: string[] = [];
-  for (const told of listTold(history)) {
-    if (told.told !== 'answered') {
+  for (const event of listOutcomes(history)) {
+    if (event.outcome !== 'answered') {
       continue;
     }
-    if (told.payload !== asked.get(told.instance)) {
-      violations.push(`${told.instance} got the answer to ${told.payload}`);
+    if (event.payload !== asked.get(event.instance)) {
+      violations.push(
+        `${event.instance} received the answer to ${event.payload}`,
+      );
     }
-    if (!ran.has(told.key)) {
-      violations.push(`${told.instance} was answered, and never ran`);
+    if (!ran.has(event.key)) {
+      violations.push(`${event.instance} was answered, but its call never ran`);
     }
   }
   return violations;
 }
 
 /**
- * Finds accepted calls that never ran. Only announced departures are promised
- * to lose nothing; after a crash an accepted call may end as unknown.
+ * Finds accepted calls that never ran. The promise covers announced shutdowns
+ * only: after a crash the outcome of an accepted call may be unknown.
  */
 export function findLostAcceptances(history: History): string[] {
   if (history.crashed) {
@@ -64,40 +68,42 @@
   }
   const ran = new Set(listRuns(history).map(run => run.key));
   const violations: string[] = [];
-  for (const told of listTold(history)) {
-    if (told.told === 'accepted' && !ran.has(told.key)) {
-      violations.push(`${told.key} was accepted, and never ran`);
+  for (const event of listOutcomes(history)) {
+    if (event.outcome === 'accepted' && !ran.has(event.key)) {
+      violations.push(`${event.key} was accepted, but never ran`);
     }
   }
   return violations;
 }
 
-/** Finds requests that a planned stop cut off: nobody told their callers. */
-export function findCutOff(history: History): string[] {
+/** Finds requests whose caller received no outcome, as after an aborted request. */
+export function findUnanswered(history: History): string[] {
   const violations: string[] = [];
-  for (const told of listTold(history)) {
-    if (told.told === 'nothing') {
-      violations.push(`${told.instance} was cut off`);
+  for (const event of listOutcomes(history)) {
+    if (event.outcome === 'nothing') {
+      violations.push(`${event.instance} received no outcome`);
     }
   }
   return violations;
 }
 
-/** Counts what callers were told. */
-export function countTold(history: History, wanted: string): number {
+/** Counts the requests whose caller received a given outcome. */
+export function countOutcomes(history: History, wanted: string): number {
   let count = 0;
-  for (const told of listTold(history)) {
-    count += told.told === wanted ? 1 : 0;
+  for (const event of listOutcomes(history)) {
+    count += event.outcome === wanted ? 1 : 0;
   }
   return count;
 }
 
-function listRuns(history: History): Ran[] {
-  return history.events.filter((event): event is Ran => event.kind === 'ran');
+function listRuns(history: History): RunEvent[] {
+  return history.events.filter(
+    (event): event is RunEvent => event.kind === 'ran',
+  );
 }
 
-function listTold(history: History): ToldEvent[] {
+function listOutcomes(history: History): OutcomeEvent[] {
   return history.events.filter(
-    (event): event is ToldEvent => event.kind === 'told',
+    (event): event is OutcomeEvent => event.kind === 'told',
   );
 }
--- a/src/prove/configuration_proof.ts
+++ b/src/prove/configuration_proof.ts
@@ -2,13 +2,16 @@
   ConfigurationSchedule,
   configurationSchedules,
 } from './configuration_schedule.js';
-import {ConfigurationWorld} from './configuration_world.js';
+import {ConfigurationSimulation} from './configuration_simulation.js';
 import {Proof} from './proof.js';
 
-/** Accepted configuration is in force everywhere in time, and never reverts. */
+/**
+ * A change that is reported in force in a data centre is in force on all its
+ * serving hosts, all running hosts converge, and none returns to a lower revision.
+ */
 export const configurationHolds: Proof<ConfigurationSchedule> = {
   name: 'configuration-holds',
-  variant: 'takes over a lower revision',
+  variant: 'applies a lower revision',
   schedules: configurationSchedules,
-  run: (schedule, broken) => new ConfigurationWorld(broken).run(schedule),
+  run: (schedule, broken) => new ConfigurationSimulation(broken).run(schedule),
 };
--- a/src/prove/configuration_schedule.ts
+++ b/src/prove/configuration_schedule.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check';
 import {TableFault} from './faulty_table.js';
 
-/** Entry hosts of the world. */
-export const HOSTS = 4;
+/** Number of entry hosts. */
+export const HOST_COUNT = 4;
 
 /** One step of a schedule of changes and faults. */
 export type ConfigurationStep =
@@ -10,7 +10,7 @@
       readonly kind: 'change';
       readonly host: number;
       readonly record: number;
-      /** Schema version it is written in. */
+      /** Schema version of the written record. */
       readonly version: number;
     }
   | {
@@ -26,13 +26,13 @@
   | {readonly kind: 'restart'; readonly host: number}
   | {readonly kind: 'slow-peers'; readonly forMs: number};
 
-/** A schedule: each step comes a while after the one before. */
+/** Steps in order; `afterMs` is the delay since the previous step. */
 export type ConfigurationSchedule = readonly {
   readonly afterMs: number;
   readonly step: ConfigurationStep;
 }[];
 
-const host = fc.integer({min: 0, max: HOSTS - 1});
+const host = fc.integer({min: 0, max: HOST_COUNT - 1});
 const forMs = fc.integer({min: 100, max: 6000});
 const steps: fc.Arbitrary<ConfigurationStep> = fc.oneof(
   {
@@ -64,7 +64,7 @@
   }) as fc.Arbitrary<ConfigurationStep>,
 );
 
-/** Schedules of changes and faults, some of each in turn. */
+/** Generates schedules of configuration changes and faults. */
 export const configurationSchedules: fc.Arbitrary<ConfigurationSchedule> =
   fc.array(
     fc.record({afterMs: fc.constantFrom(0, 10, 300, 1500), step: steps}),
--- a/src/prove/configuration_world.ts
+++ b/src/prove/configuration_simulation.ts
@@ -17,21 +17,21 @@
 import {
   ConfigurationSchedule,
   ConfigurationStep,
-  HOSTS,
+  HOST_COUNT,
 } from './configuration_schedule.js';
 import {FaultyTable, TableFault} from './faulty_table.js';
 import {Gate, GatedClock} from './gate.js';
 import {RunReport} from './proof.js';
 
-const IN_FORCE_MS = 4000;
-const HEARTBEAT_MS = 500;
-const POLL_MS = 1000;
+const IN_FORCE_TIMEOUT_MS = 4000;
+const HEARTBEAT_INTERVAL_MS = 500;
+const POLL_INTERVAL_MS = 1000;
 const SETTLE_MS = 30_000;
-const PEER_MS = 5;
-const SLOW_PEER_MS = 900;
+const PEER_LATENCY_MS = 5;
+const SLOW_PEER_LATENCY_MS = 900;
 
-/** A store that takes over whatever it is given: the broken variant. */
-class ForgetfulStore extends ConfigurationStore {
+/** The broken variant: a full snapshot of a lower revision replaces the store. */
+class RevertingStore extends ConfigurationStore {
   override apply(delta: ConfigurationDelta, source: string): boolean {
     if (delta.after === 0 && delta.revision < this.getRevision()) {
       this.reset();
@@ -40,8 +40,8 @@
   }
 }
 
-/** One start of one entry host, as far as configuration goes. */
-interface ProofHost {
+/** One incarnation of an entry host, reduced to its configuration. */
+interface SimulatedHost {
   readonly name: string;
   readonly dataCentre: string;
   readonly incarnation: string;
@@ -52,21 +52,21 @@
   readonly membership: Membership;
   readonly inForce: InForce;
   readonly stop: AbortController;
-  highest: number;
+  highestRevision: number;
   cut: boolean;
 }
 
-/** Four entry hosts in two data centres, on a virtual clock. */
-export class ConfigurationWorld {
+/** Simulates four entry hosts in two data centres on a virtual clock. */
+export class ConfigurationSimulation {
   private readonly clock = new VirtualClock();
   private readonly table = new FaultyTable(
     new MemoryTableService(),
     this.clock,
   );
-  private readonly hosts: ProofHost[] = [];
+  private readonly hosts: SimulatedHost[] = [];
   private readonly violations: string[] = [];
-  private readonly acceptedOn = new Map<string, string>();
-  private starts = 0;
+  private readonly winners = new Map<string, string>();
+  private incarnationCount = 0;
   private changes = 0;
   private accepted = 0;
   private refused = 0;
@@ -76,13 +76,14 @@
 
   constructor(private readonly broken: boolean) {}
 
+  /** Runs a schedule and checks that the hosts converge. */
   async run(schedule: ConfigurationSchedule): Promise<RunReport> {
-    for (let index = 0; index < HOSTS; index++) {
+    for (let index = 0; index < HOST_COUNT; index++) {
       this.hosts.push(this.startHost(index));
     }
     const stop = new AbortController();
     void this.exchangeHeartbeats(stop.signal);
-    await this.clock.advance(POLL_MS);
+    await this.clock.advance(POLL_INTERVAL_MS);
     for (const {afterMs, step} of schedule) {
       await this.clock.advance(afterMs);
       this.execute(step);
@@ -111,29 +112,31 @@
     this.faults++;
     if (step.kind === 'table') {
       this.table.fault = step.fault;
-      this.after(step.forMs, () => (this.table.fault = TableFault.NONE));
+      this.runAfter(step.forMs, () => (this.table.fault = TableFault.NONE));
       return;
     }
     if (step.kind === 'slow-peers') {
       this.slowPeers = true;
-      this.after(step.forMs, () => (this.slowPeers = false));
+      this.runAfter(step.forMs, () => (this.slowPeers = false));
       return;
     }
     const host = this.getHost(step.host);
     if (step.kind === 'cut') {
       host.cut = true;
-      this.after(step.forMs, () => (host.cut = false));
+      this.runAfter(step.forMs, () => (host.cut = false));
     } else if (step.kind === 'freeze') {
       host.gate.freeze();
-      this.after(step.forMs, () => host.gate.thaw());
+      this.runAfter(step.forMs, () => host.gate.thaw());
     } else {
       host.gate.kill();
       host.stop.abort();
-      this.hosts[step.host % HOSTS] = this.startHost(step.host % HOSTS);
+      this.hosts[step.host % HOST_COUNT] = this.startHost(
+        step.host % HOST_COUNT,
+      );
     }
   }
 
-  /** Changes a record on the revision the operator's host knows. */
+  /** Writes a record, based on the revision that the operator's host has. */
   private async change(
     step: Extract<ConfigurationStep, {readonly kind: 'change'}>,
   ): Promise<void> {
@@ -168,19 +171,21 @@
     this.checkSoleWinner(`${name}@${madeOn}`, changeId);
     await host.feed.readTable();
     const {revision} = written.value;
-    const report = await host.inForce.wait(revision, IN_FORCE_MS);
+    const report = await host.inForce.wait(revision, IN_FORCE_TIMEOUT_MS);
     for (const centre of report.inForce) {
       this.checkInForce(centre, revision);
     }
   }
 
-  /** Two operators on the same revision: only one may win. */
+  /** Of several changes based on the same revision, only one may be accepted. */
   private checkSoleWinner(base: string, changeId: string): void {
-    const other = this.acceptedOn.get(base);
+    const other = this.winners.get(base);
     if (other !== undefined) {
-      this.violations.push(`${changeId} and ${other} both won on ${base}`);
+      this.violations.push(
+        `${changeId} and ${other} were both accepted on ${base}`,
+      );
     }
-    this.acceptedOn.set(base, changeId);
+    this.winners.set(base, changeId);
   }
 
   private checkInForce(dataCentre: string, revision: number): void {
@@ -191,18 +196,18 @@
         host.store.getRevision() > 0;
       if (serving && host.store.getRevision() < revision) {
         this.violations.push(
-          `${revision} was said to be in force in ${dataCentre}, but ${host.name} is at ${host.store.getRevision()}`,
+          `revision ${revision} was reported in force in ${dataCentre}, but ${host.name} is at ${host.store.getRevision()}`,
         );
       }
     }
   }
 
   private checkConverged(): void {
-    const highest = Math.max(...this.hosts.map(host => host.highest));
+    const highest = Math.max(...this.hosts.map(host => host.highestRevision));
     for (const host of this.hosts) {
       if (host.gate.isOpen() && host.store.getRevision() < highest) {
         this.violations.push(
-          `${host.name} is still at ${host.store.getRevision()} of ${highest}`,
+          `${host.name} is still at revision ${host.store.getRevision()} instead of ${highest}`,
         );
       }
     }
@@ -212,19 +217,19 @@
         .map(host => JSON.stringify(sortRecords(host.store))),
     );
     if (contents.size > 1) {
-      this.violations.push('hosts at one revision hold different records');
+      this.violations.push('running hosts hold different records at the end');
     }
   }
 
-  private startHost(index: number): ProofHost {
+  private startHost(index: number): SimulatedHost {
     const name = `host-${index}`;
-    const dataCentre = getCentre(index);
-    const incarnation = `start-${this.starts++}`;
+    const dataCentre = getDataCentre(index);
+    const incarnation = `start-${this.incarnationCount++}`;
     const gate = new Gate();
     const clock = new GatedClock(this.clock, gate);
     const log = new SilentLog();
     const store = this.broken
-      ? new ForgetfulStore(log)
+      ? new RevertingStore(log)
       : new ConfigurationStore(log);
     const table = new ConfigurationTable(
       {
@@ -249,9 +254,9 @@
         gate.call(() => this.requestPeer(name, to, body)),
       host: name,
       listLiveNamesHere: () => membership.listLiveNamesHere(),
-      pollMs: POLL_MS,
+      pollMs: POLL_INTERVAL_MS,
     });
-    const host: ProofHost = {
+    const host: SimulatedHost = {
       name,
       dataCentre,
       incarnation,
@@ -262,37 +267,37 @@
       membership,
       inForce: new InForce(dataCentre, store, membership, clock),
       stop: new AbortController(),
-      highest: 0,
+      highestRevision: 0,
       cut: false,
     };
     store.addListener(view => {
-      if (view.revision < host.highest) {
+      if (view.revision < host.highestRevision) {
         this.violations.push(
-          `${name} fell from ${host.highest} to ${view.revision}`,
+          `${name} returned from revision ${host.highestRevision} to ${view.revision}`,
         );
       }
-      host.highest = Math.max(host.highest, view.revision);
+      host.highestRevision = Math.max(host.highestRevision, view.revision);
     });
-    membership.addListed(LISTED);
+    membership.addListed(LISTED_HOSTS);
     void feed.run(host.stop.signal);
     return host;
   }
 
-  /** Heartbeats, reduced to what the configuration depends on. */
+  /** Exchanges heartbeats, reduced to what the configuration depends on. */
   private async exchangeHeartbeats(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       for (const from of this.hosts) {
         for (const to of this.hosts) {
           if (from !== to && this.isConnected(from, to)) {
-            this.beat(from, to);
+            this.deliverHeartbeat(from, to);
           }
         }
       }
-      await this.clock.sleep(HEARTBEAT_MS, signal);
+      await this.clock.sleep(HEARTBEAT_INTERVAL_MS, signal);
     }
   }
 
-  private beat(from: ProofHost, to: ProofHost): void {
+  private deliverHeartbeat(from: SimulatedHost, to: SimulatedHost): void {
     const status = this.createStatus(from);
     to.membership.addStatus(status);
     if (status.revision > to.store.getRevision()) {
@@ -300,7 +305,7 @@
     }
   }
 
-  private createStatus(host: ProofHost): HostStatus {
+  private createStatus(host: SimulatedHost): HostStatus {
     const revision = host.store.getRevision();
     return {
       host: host.name,
@@ -323,44 +328,49 @@
     const source = this.hosts.find(host => host.name === from);
     const target = this.hosts.find(host => host.name === to);
     if (!source || !target || !this.isConnected(source, target)) {
-      await this.clock.sleep(PEER_MS);
-      const failure = new PeerFailure(PeerFailureKind.NOT_SENT, 'cut');
+      await this.clock.sleep(PEER_LATENCY_MS);
+      const failure = new PeerFailure(
+        PeerFailureKind.NOT_SENT,
+        'no connection',
+      );
       return Result.err(failure);
     }
     const {after} = body as {after: number};
     const delta = target.store.getDelta(after);
-    await this.clock.sleep(this.slowPeers ? SLOW_PEER_MS : PEER_MS);
+    await this.clock.sleep(
+      this.slowPeers ? SLOW_PEER_LATENCY_MS : PEER_LATENCY_MS,
+    );
     return Result.ok(delta);
   }
 
-  private isConnected(a: ProofHost, b: ProofHost): boolean {
+  private isConnected(a: SimulatedHost, b: SimulatedHost): boolean {
     return a.gate.isOpen() && b.gate.isOpen() && !a.cut && !b.cut;
   }
 
-  private getHost(index: number): ProofHost {
-    const host = this.hosts[index % HOSTS];
+  private getHost(index: number): SimulatedHost {
+    const host = this.hosts[index % HOST_COUNT];
     if (host === undefined) {
-      throw new Error(`there is no host ${index}`);
+      throw new Error(`no host with index ${index}`);
     }
     return host;
   }
 
-  private after(ms: number, act: () => void): void {
+  private runAfter(ms: number, act: () => void): void {
     void this.clock.sleep(ms).then(act);
   }
 }
 
-function getCentre(index: number): string {
-  return index < HOSTS / 2 ? 'tac-hall' : 'pdx-hall';
+function getDataCentre(index: number): string {
+  return index < HOST_COUNT / 2 ? 'tac-hall' : 'pdx-hall';
 }
 
-/** The platform's list, which names every host throughout. */
-const LISTED: readonly ListedHost[] = Array.from(
-  {length: HOSTS},
+/** The platform's host list, which contains every host for the whole run. */
+const LISTED_HOSTS: readonly ListedHost[] = Array.from(
+  {length: HOST_COUNT},
   (_unused, index) => ({
     name: `host-${index}`,
     role: HostRole.ENTRY,
-    dataCentre: getCentre(index),
+    dataCentre: getDataCentre(index),
     zone: 'a',
     machineClass: 'standard',
     address: `host-${index}`,
--- a/src/prove/proof_back_end.ts
+++ b/src/prove/fake_back_end.ts
@@ -10,15 +10,15 @@
 import {CallVariant} from './call_variant.js';
 import {Recorder} from './history.js';
 
-/** Time that a call takes on its way and at work, in milliseconds. */
+/** Transport and service time of a call, in milliseconds. */
 const SERVICE_MS = 8;
-/** Time after which a call that was held up runs, in milliseconds. */
-const LATE_MS = 4000;
-/** Longest wait for an answer that does not come, in milliseconds. */
-const LOST_MS = 1000;
+/** Time after which a delayed call runs, in milliseconds. */
+const DELAYED_RUN_MS = 4000;
+/** Longest wait for a lost answer, in milliseconds. */
+const ANSWER_TIMEOUT_MS = 1000;
 
-/** The back end of a world of calls: notes what ran, and fails as it is told to. */
-export class ProofBackEnd {
+/** A fake back end that records which calls ran and injects the current fault. */
+export class FakeBackEnd {
   fault: ServiceFault = ServiceFault.NONE;
   private readonly answers = new Map<string, string>();
 
@@ -28,7 +28,7 @@
     private readonly variant: CallVariant,
   ) {}
 
-  /** Takes a call as it takes calls now. */
+  /** Processes a call under the fault that is current when it arrives. */
   async dispatch(order: CallOrder): Promise<DispatchResult> {
     const fault = this.fault;
     const notSent: DispatchResult = {
@@ -40,30 +40,30 @@
       case ServiceFault.REFUSES:
         return notSent;
       case ServiceFault.CALL_LOST:
-        return this.lose(order);
+        return this.loseAnswer(order);
       case ServiceFault.ANSWER_LOST:
         this.runCall(order);
-        return this.lose(order);
-      case ServiceFault.LATE:
-        void this.clock.sleep(LATE_MS).then(() => this.runCall(order));
-        return this.lose(order);
+        return this.loseAnswer(order);
+      case ServiceFault.DELAYED:
+        void this.clock.sleep(DELAYED_RUN_MS).then(() => this.runCall(order));
+        return this.loseAnswer(order);
       default:
         return {kind: DispatchKind.ANSWERED, answer: this.runCall(order)};
     }
   }
 
-  private async lose(order: CallOrder): Promise<DispatchResult> {
+  private async loseAnswer(order: CallOrder): Promise<DispatchResult> {
     const leftMs = order.deadlineMs - this.clock.monotonicMs();
-    await this.clock.sleep(Math.min(Math.max(0, leftMs), LOST_MS));
-    return this.variant.trustsSilence === true
+    await this.clock.sleep(Math.min(Math.max(0, leftMs), ANSWER_TIMEOUT_MS));
+    return this.variant.treatsLostAsNotSent === true
       ? {
           kind: DispatchKind.NOT_SENT,
-          problem: {...problems.serverFailed('silent'), ran: Ran.NO},
+          problem: {...problems.serverFailed('no answer'), ran: Ran.NO},
         }
       : {kind: DispatchKind.LOST, detail: 'no answer'};
   }
 
-  /** The back end deduplicates nothing: every call that arrives runs. */
+  /** Runs a call. The back end does not deduplicate: every received call runs. */
   private runCall(order: CallOrder): RecordedAnswer {
     const key = order.call.key ?? '';
     const payload = Buffer.from(order.call.body).toString();
@@ -74,12 +74,12 @@
       key,
       payload,
     });
-    const crossed =
-      this.variant.crossesAnswers === true
+    const otherAnswer =
+      this.variant.returnsOtherAnswers === true
         ? [...this.answers.values()].find(other => other !== payload)
         : undefined;
     this.answers.set(key, payload);
-    const body = crossed ?? payload;
+    const body = otherAnswer ?? payload;
     return {
       status: 201,
       contentType: 'text/plain',
--- a/src/prove/fault_rates.ts
+++ b/src/prove/fault_rates.ts
@@ -1,23 +1,24 @@
 import fc from 'fast-check';
-import {countTold} from './check_calls.js';
+import {countOutcomes} from './check_calls.js';
 import {CallStep, createCallSchedules} from './call_schedule.js';
-import {CallWorld} from './call_world.js';
+import {CallSimulation} from './call_simulation.js';
 
-/** Shares of calls answered, refused truly and left unknown under one fault. */
+/** Numbers of calls by the outcome their callers received, under one kind of fault. */
 export interface FaultRate {
   readonly fault: string;
   readonly calls: number;
   readonly answered: number;
   readonly refused: number;
   readonly unknown: number;
-  /** Calls whose host died or froze, so that nobody told the caller. */
+  /** Calls without any response, because their host died or froze. */
   readonly nothing: number;
 }
 
 /**
- * Measures, for each kind of fault alone, what callers were told.
- * @param seed - Seed of the schedules.
- * @param histories - Schedules per fault.
+ * Measures the outcomes that callers receive under each kind of fault alone.
+ * @param seed - Seed of the generated schedules.
+ * @param histories - Number of schedules per kind of fault.
+ * @returns One rate per kind of fault, and one for `none`.
  */
 export async function reportRates(
   seed: number,
@@ -41,18 +42,18 @@
       const alone = schedule.filter(
         ({step}) => step.kind === 'call' || getFaultName(step) === fault,
       );
-      const history = await new CallWorld({}, false).run(alone);
+      const history = await new CallSimulation({}, false).run(alone);
       const asked = history.events.filter(event => event.kind === 'asked');
       rate = {
         fault,
         calls: rate.calls + asked.length,
         answered:
           rate.answered +
-          countTold(history, 'answered') +
-          countTold(history, 'accepted'),
-        refused: rate.refused + countTold(history, 'did-not-run'),
-        unknown: rate.unknown + countTold(history, 'unknown'),
-        nothing: rate.nothing + countTold(history, 'nothing'),
+          countOutcomes(history, 'answered') +
+          countOutcomes(history, 'accepted'),
+        refused: rate.refused + countOutcomes(history, 'did-not-run'),
+        unknown: rate.unknown + countOutcomes(history, 'unknown'),
+        nothing: rate.nothing + countOutcomes(history, 'nothing'),
       };
     }
     rates.push(rate);
--- a/src/prove/spoilt_engine.ts
+++ b/src/prove/faulty_engine.ts
@@ -11,12 +11,12 @@
 import {VirtualClock} from '../time/index.js';
 import {StreamStep} from './stream_schedule.js';
 
-/** Time for which a silent engine says nothing, in milliseconds. */
-const SILENT_MS = 60_000;
+/** Time for which a stalled engine sends no token, in milliseconds. */
+const STALL_MS = 60_000;
 
-/** An engine whose next stream can be spoilt. */
-export class SpoiltEngine implements ModelEngine {
-  spoil: StreamStep['kind'] | 'none' = 'none';
+/** An engine that injects a fault into its next stream, or is terminated. */
+export class FaultyEngine implements ModelEngine {
+  nextFault: StreamStep['kind'] | 'none' = 'none';
   private readonly killed = new AbortController();
 
   constructor(
@@ -35,28 +35,28 @@
     if (this.killed.signal.aborted) {
       throw new ServerFailure(Reach.NOT_SENT, 'refused');
     }
-    const {spoil} = this;
-    this.spoil = 'none';
-    const either = AbortSignal.any([signal, this.killed.signal]);
+    const {nextFault: fault} = this;
+    this.nextFault = 'none';
+    const anySignal = AbortSignal.any([signal, this.killed.signal]);
     let sent = 0;
-    for await (const token of this.engine.generate(order, either)) {
+    for await (const token of this.engine.generate(order, anySignal)) {
       sent++;
-      if (spoil === 'cross' && sent === 2) {
+      if (fault === 'cross' && sent === 2) {
         yield {...token, requestId: 'another', text: 'CROSSED '};
         continue;
       }
-      if (spoil === 'skip' && sent === 2) {
+      if (fault === 'skip' && sent === 2) {
         continue;
       }
       yield token;
-      if (spoil === 'double' && sent === 2) {
+      if (fault === 'double' && sent === 2) {
         yield token;
       }
-      if (spoil === 'break' && sent === 3) {
-        throw new ServerFailure(Reach.SENT, 'broken off');
+      if (fault === 'break' && sent === 3) {
+        throw new ServerFailure(Reach.SENT, 'stream broken off after 3 tokens');
       }
-      if (spoil === 'silence' && sent === 3) {
-        await this.clock.sleep(SILENT_MS, either);
+      if (fault === 'silence' && sent === 3) {
+        await this.clock.sleep(STALL_MS, anySignal);
       }
     }
   }
--- a/src/prove/faulty_table.ts
+++ b/src/prove/faulty_table.ts
@@ -9,29 +9,29 @@
 } from '../table/index.js';
 import {Clock} from '../time/index.js';
 
-/** Faults of a table in proofs. */
+/** Injected faults of the table. */
 export const TableFault = {
   NONE: 'none',
-  /** Nothing reaches it. */
+  /** Requests do not reach it. */
   DOWN: 'down',
-  /** Answers take long. */
+  /** Reads and writes take effect only after a delay. */
   SLOW: 'slow',
   /** Writes take effect; their answers are lost. */
   ANSWER_LOST: 'answer-lost',
-  /** Writes take effect at once; their answers take long. */
-  ANSWER_LATE: 'answer-late',
-  /** The answer is lost, and the write takes effect later. */
-  LATE: 'late',
+  /** Writes take effect at once; their answers are delayed. */
+  ANSWER_DELAYED: 'answer-late',
+  /** Answers of writes are lost, and the writes take effect later. */
+  DELAYED: 'late',
 } as const;
 export type TableFault = (typeof TableFault)[keyof typeof TableFault];
 
 const LATENCY_MS = 5;
 const SLOW_MS = 700;
 const TIMEOUT_MS = 1000;
-const LATE_MS = 2500;
-const ANSWER_LATE_MS = 900;
+const DELAYED_WRITE_MS = 2500;
+const ANSWER_DELAY_MS = 900;
 
-/** A table whose faults are switched by a schedule. */
+/** A table with injected latency and faults; a schedule sets the current fault. */
 export class FaultyTable implements TableService {
   fault: TableFault = TableFault.NONE;
   writes = 0;
@@ -56,7 +56,7 @@
     switch (this.fault) {
       case TableFault.DOWN:
         await this.clock.sleep(LATENCY_MS);
-        return Result.err(fail(TableFailureKind.UNREACHED));
+        return Result.err(createFailure(TableFailureKind.UNREACHED));
       case TableFault.SLOW:
         await this.clock.sleep(SLOW_MS);
         return this.table.transact(steps);
@@ -64,16 +64,18 @@
         await this.clock.sleep(LATENCY_MS);
         await this.table.transact(steps);
         await this.clock.sleep(TIMEOUT_MS);
-        return Result.err(fail(TableFailureKind.UNANSWERED));
-      case TableFault.ANSWER_LATE: {
+        return Result.err(createFailure(TableFailureKind.UNANSWERED));
+      case TableFault.ANSWER_DELAYED: {
         const commit = await this.table.transact(steps);
-        await this.clock.sleep(ANSWER_LATE_MS);
+        await this.clock.sleep(ANSWER_DELAY_MS);
         return commit;
       }
-      case TableFault.LATE:
-        void this.clock.sleep(LATE_MS).then(() => this.table.transact(steps));
+      case TableFault.DELAYED:
+        void this.clock
+          .sleep(DELAYED_WRITE_MS)
+          .then(() => this.table.transact(steps));
         await this.clock.sleep(TIMEOUT_MS);
-        return Result.err(fail(TableFailureKind.UNANSWERED));
+        return Result.err(createFailure(TableFailureKind.UNANSWERED));
       default:
         await this.clock.sleep(LATENCY_MS);
         return this.table.transact(steps);
@@ -85,7 +87,7 @@
   ): Promise<Result<T, TableFailure>> {
     if (this.fault === TableFault.DOWN) {
       await this.clock.sleep(LATENCY_MS);
-      return Result.err(fail(TableFailureKind.UNREACHED));
+      return Result.err(createFailure(TableFailureKind.UNREACHED));
     }
     await this.clock.sleep(
       this.fault === TableFault.SLOW ? SLOW_MS : LATENCY_MS,
@@ -94,6 +96,6 @@
   }
 }
 
-function fail(kind: TableFailure['kind']): TableFailure {
-  return {kind, detail: 'a fault of the proof'};
+function createFailure(kind: TableFailure['kind']): TableFailure {
+  return {kind, detail: 'injected table fault'};
 }
--- a/src/prove/gate.ts
+++ b/src/prove/gate.ts
@@ -1,8 +1,8 @@
 import {CancelTimer, Clock} from '../time/index.js';
 
 /**
- * Lets a host be frozen or killed: everything the host awaits passes through
- * its gate, and so does not return while the gate is shut.
+ * Freezes or kills a simulated host. Everything the host awaits passes through
+ * its gate, so no wait returns while the gate is shut.
  */
 export class Gate {
   private shut: Promise<void> | undefined;
@@ -16,7 +16,7 @@
     });
   }
 
-  /** Lets a frozen host go on. */
+  /** Resumes a frozen host; has no effect on a killed one. */
   thaw(): void {
     if (!this.dead) {
       this.shut = undefined;
@@ -24,30 +24,30 @@
     }
   }
 
-  /** Stops the host for good. */
+  /** Stops the host permanently. */
   kill(): void {
     this.dead = true;
     this.shut = new Promise(() => undefined);
   }
 
-  /** Tells whether the host was killed. */
+  /** Returns whether the host was killed. */
   isDead(): boolean {
     return this.dead;
   }
 
-  /** Tells whether the host runs now. */
+  /** Returns whether the host is running: neither frozen nor killed. */
   isOpen(): boolean {
     return this.shut === undefined;
   }
 
-  /** Waits until the host runs; never returns once it was killed. */
+  /** Waits until the host is running; never resolves once it was killed. */
   async pass(): Promise<void> {
     while (this.shut !== undefined) {
       await this.shut;
     }
   }
 
-  /** Wraps a call out of the host. */
+  /** Makes an outgoing call of the host; waits for the gate before and after it. */
   async call<T>(send: () => Promise<T>): Promise<T> {
     await this.pass();
     const result = await send();
@@ -56,7 +56,7 @@
   }
 }
 
-/** The clock as one host sees it: waits end only while the host runs. */
+/** The clock of one simulated host: sleeps and timers end only while it is running. */
 export class GatedClock implements Clock {
   constructor(
     private readonly clock: Clock,
--- a/src/prove/history.ts
+++ b/src/prove/history.ts
@@ -1,13 +1,13 @@
-/** What a caller was told in the end. */
-export type Told =
+/** Final outcome of a request, as reported to its caller. */
+export type CallerOutcome =
   | 'answered'
   | 'accepted'
   | 'did-not-run'
   | 'unknown'
-  /** The host that was asked died: nobody told the caller anything. */
+  /** The receiving host died: the caller received no response. */
   | 'nothing';
 
-/** One event of a history, with its time on the one clock of the run. */
+/** One event of a history; `atMs` is on the single virtual clock of the run. */
 export type HistoryEvent =
   | {
       readonly kind: 'asked';
@@ -21,8 +21,8 @@
       readonly atMs: number;
       readonly instance: string;
       readonly key: string;
-      readonly told: Told;
-      /** Payload that the answer speaks of. */
+      readonly outcome: CallerOutcome;
+      /** Payload that the answer contains. */
       readonly payload?: string;
     }
   | {
@@ -33,32 +33,31 @@
       readonly payload: string;
     };
 
-/** Everything that callers and back ends saw in one run, in order. */
+/** Everything that callers and back ends observed in one run, in order. */
 export interface History {
   readonly events: readonly HistoryEvent[];
-  /** Faults that took effect. */
+  /** Number of injected faults. */
   readonly faults: number;
-  /** Whether a host died without notice. */
+  /** Whether a host was killed without notice or before its shutdown was complete. */
   readonly crashed: boolean;
 }
 
-/** Records a history. */
+/** Records the history of a run. */
 export class Recorder {
   private readonly events: HistoryEvent[] = [];
   private faults = 0;
   private crashed = false;
 
-  /** Adds an event. */
   add(event: HistoryEvent): void {
     this.events.push(event);
   }
 
-  /** Counts a fault. */
+  /** Counts an injected fault. */
   addFault(): void {
     this.faults++;
   }
 
-  /** Notes that a host died without notice. */
+  /** Records that a host was killed without notice or before its shutdown was complete. */
   addCrash(): void {
     this.crashed = true;
   }
--- a/src/prove/lease_world.ts
+++ b/src/prove/lease_simulation.ts
@@ -17,56 +17,57 @@
   | {readonly kind: 'kill' | 'release'; readonly host: number}
   | {readonly kind: 'late-orders'; readonly forMs: number};
 
-/** A schedule: each step comes a while after the one before. */
+/** Steps in order; `afterMs` is the delay since the previous step. */
 export type LeaseSchedule = readonly {
   readonly afterMs: number;
   readonly step: LeaseStep;
 }[];
 
-const HOSTS = 3;
-const DURATION_MS = 3000;
-const MARGIN_MS = 500;
-const CLAIM_MS = 700;
-const ORDER_MS = 150;
-const LATE_ORDER_MS = 800;
+const HOST_COUNT = 3;
+const LEASE_DURATION_MS = 3000;
+const LEASE_MARGIN_MS = 500;
+const CLAIM_INTERVAL_MS = 700;
+const ORDER_INTERVAL_MS = 150;
+const ORDER_DELAY_MS = 800;
 const SETTLE_MS = 15_000;
 
-/** One host that claims the lease and gives orders under it. */
-interface ProofHost {
+/** One host that claims the lease and sends orders under it. */
+interface SimulatedHost {
   readonly gate: Gate;
   readonly lease: Lease;
   readonly clock: GatedClock;
 }
 
 /**
- * Three hosts that claim one lease and give orders under it, to an engine that
- * checks the fencing number and to one that ignores it.
+ * Simulates three hosts that claim one lease and send orders under it. Overlaps
+ * are checked when an order is sent, as for an engine that ignores the fencing
+ * number; a simulated engine that checks the number rejects outdated orders.
  */
-class LeaseWorld {
+class LeaseSimulation {
   private readonly clock = new VirtualClock();
   private readonly table = new FaultyTable(
     new MemoryTableService(),
     this.clock,
   );
-  private readonly hosts: ProofHost[] = [];
+  private readonly hosts: SimulatedHost[] = [];
   private readonly violations: string[] = [];
-  private orders = 0;
-  private refusedByFence = 0;
+  private orderCount = 0;
+  private rejectedByFence = 0;
   private faults = 0;
   private highestFence = 0;
-  private lateOrders = false;
+  private delaysOrders = false;
 
   constructor(private readonly broken: boolean) {}
 
   async run(schedule: LeaseSchedule): Promise<RunReport> {
     const stop = new AbortController();
-    for (let index = 0; index < HOSTS; index++) {
+    for (let index = 0; index < HOST_COUNT; index++) {
       const host = this.createHost(index);
       this.hosts.push(host);
       void this.claim(host, stop.signal);
-      void this.giveOrders(host, stop.signal);
+      void this.sendOrders(host, stop.signal);
     }
-    await this.clock.advance(CLAIM_MS);
+    await this.clock.advance(CLAIM_INTERVAL_MS);
     for (const {afterMs, step} of schedule) {
       await this.clock.advance(afterMs);
       this.execute(step);
@@ -75,10 +76,10 @@
     stop.abort();
     return {
       violations: this.violations,
-      operations: this.orders,
+      operations: this.orderCount,
       faults: this.faults,
-      answered: this.orders - this.refusedByFence,
-      refused: this.refusedByFence,
+      answered: this.orderCount - this.rejectedByFence,
+      refused: this.rejectedByFence,
       unknown: 0,
     };
   }
@@ -93,8 +94,8 @@
       return;
     }
     if (step.kind === 'late-orders') {
-      this.lateOrders = true;
-      void this.clock.sleep(step.forMs).then(() => (this.lateOrders = false));
+      this.delaysOrders = true;
+      void this.clock.sleep(step.forMs).then(() => (this.delaysOrders = false));
       return;
     }
     const host = this.hosts[step.host];
@@ -108,7 +109,7 @@
     }
   }
 
-  private createHost(index: number): ProofHost {
+  private createHost(index: number): SimulatedHost {
     const gate = new Gate();
     const clock = new GatedClock(this.clock, gate);
     const lease = new Lease({
@@ -120,58 +121,58 @@
       clock,
       role: 'placement',
       holder: `host-${index}`,
-      durationMs: DURATION_MS,
-      marginMs: MARGIN_MS,
+      durationMs: LEASE_DURATION_MS,
+      marginMs: LEASE_MARGIN_MS,
       ...(this.broken ? {judge: (_sent, answered) => answered} : {}),
     });
     return {gate, lease, clock};
   }
 
-  private async claim(host: ProofHost, signal: AbortSignal): Promise<void> {
+  private async claim(host: SimulatedHost, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await host.lease.claim();
-      await host.clock.sleep(CLAIM_MS, signal);
+      await host.clock.sleep(CLAIM_INTERVAL_MS, signal);
     }
   }
 
-  private async giveOrders(
-    host: ProofHost,
+  private async sendOrders(
+    host: SimulatedHost,
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
-      await host.clock.sleep(ORDER_MS, signal);
+      await host.clock.sleep(ORDER_INTERVAL_MS, signal);
       const held = host.lease.getHeld();
       if (held !== undefined) {
-        this.giveOrder(host, held);
+        this.sendOrder(host, held);
       }
     }
   }
 
-  private giveOrder(host: ProofHost, held: HeldLease): void {
-    this.orders++;
+  private sendOrder(host: SimulatedHost, held: HeldLease): void {
+    this.orderCount++;
     for (const other of this.hosts) {
-      const theirs = other.lease.getHeld();
-      if (other !== host && theirs !== undefined) {
+      const otherLease = other.lease.getHeld();
+      if (other !== host && otherLease !== undefined) {
         this.violations.push(
-          `an order under fence ${held.fence} was sent while ${theirs.fence} was held`,
+          `an order under fence ${held.fence} was sent while another host held fence ${otherLease.fence}`,
         );
       }
     }
-    const delayMs = this.lateOrders ? LATE_ORDER_MS : 0;
+    const delayMs = this.delaysOrders ? ORDER_DELAY_MS : 0;
     void this.clock.sleep(delayMs).then(() => this.receive(held.fence));
   }
 
-  /** The engine that checks: it must never act on an old fence. */
+  /** Receives an order as an engine that rejects fences below the highest seen. */
   private receive(fence: number): void {
     if (fence < this.highestFence) {
-      this.refusedByFence++;
+      this.rejectedByFence++;
       return;
     }
     this.highestFence = fence;
   }
 }
 
-const host = fc.integer({min: 0, max: HOSTS - 1});
+const host = fc.integer({min: 0, max: HOST_COUNT - 1});
 const forMs = fc.integer({min: 300, max: 7000});
 const steps: fc.Arbitrary<LeaseStep> = fc.oneof(
   fc.record({
@@ -194,13 +195,13 @@
   }) as fc.Arbitrary<LeaseStep>,
 );
 
-/** No order is sent under a lease that another host holds by then. */
+/** No host sends an order under a lease while another host holds the lease. */
 export const leasesExclude: Proof<LeaseSchedule> = {
   name: 'leases-exclude',
-  variant: 'judges the lease from when the answer came',
+  variant: 'counts the lease from the arrival of the answer',
   schedules: fc.array(
     fc.record({afterMs: fc.constantFrom(0, 100, 700, 3000), step: steps}),
     {minLength: 2, maxLength: 10},
   ),
-  run: (schedule, broken) => new LeaseWorld(broken).run(schedule),
+  run: (schedule, broken) => new LeaseSimulation(broken).run(schedule),
 };
--- a/src/prove/leaving_world.ts
+++ b/src/prove/leaving_simulation.ts
@@ -15,7 +15,7 @@
 import {findCandidates} from '../routing/index.js';
 import {Proof, RunReport} from './proof.js';
 
-/** One step of a schedule of notices and cuts. */
+/** One step of a schedule of reclaim notices, disconnections and list delays. */
 export type LeavingStep =
   | {readonly kind: 'notice'; readonly server: number}
   | {
@@ -25,36 +25,39 @@
     }
   | {readonly kind: 'lag'; readonly lagMs: number};
 
-/** A schedule: each step comes a while after the one before. */
+/** Steps in order; `afterMs` is the delay since the previous step. */
 export type LeavingSchedule = readonly {
   readonly afterMs: number;
   readonly step: LeavingStep;
 }[];
 
-const HOSTS = 4;
-const SERVERS = 3;
-const HEARTBEAT_MS = 1000;
-const POLL_MS = 1000;
-/** Bound promised: a poll, a heartbeat, and a second of margin. */
+const HOST_COUNT = 4;
+const SERVER_COUNT = 3;
+const HEARTBEAT_INTERVAL_MS = 1000;
+const POLL_INTERVAL_MS = 1000;
+/**
+ * Longest time after a notice in which a host may still send work to the server:
+ * a poll, a heartbeat, and a second of margin.
+ */
 export const LEAVING_BOUND_MS = 3000;
 const SETTLE_MS = 10_000;
 
-/** One entry host, as far as leaving servers go. */
-interface ProofHost {
+/** One entry host, reduced to its knowledge of leaving servers. */
+interface SimulatedHost {
   readonly name: string;
   readonly leaving: LeavingHosts;
   readonly watcher: PlatformWatcher;
-  platformCut: boolean;
-  peersCut: boolean;
-  /** When it was last cut off from both platform and peers. */
-  blindMs: number;
+  platformDisconnected: boolean;
+  peersDisconnected: boolean;
+  /** When it last could not receive notices, from the platform or from peers. */
+  lastIsolatedMs: number;
 }
 
-/** Four hosts that send work to three servers, on a virtual clock. */
-class LeavingWorld {
+/** Simulates four hosts that send work to three servers, on a virtual clock. */
+class LeavingSimulation {
   private readonly clock = new VirtualClock();
-  private readonly hosts: ProofHost[] = [];
-  private readonly noticed = new Map<string, number>();
+  private readonly hosts: SimulatedHost[] = [];
+  private readonly noticeTimes = new Map<string, number>();
   private lagMs = 0;
   private sent = 0;
   private faults = 0;
@@ -64,14 +67,14 @@
 
   async run(schedule: LeavingSchedule): Promise<RunReport> {
     const stop = new AbortController();
-    for (let index = 0; index < HOSTS; index++) {
+    for (let index = 0; index < HOST_COUNT; index++) {
       this.hosts.push(this.createHost(index));
     }
     for (const host of this.hosts) {
       void host.watcher.run(stop.signal);
     }
-    void this.exchange(stop.signal);
-    void this.send(stop.signal);
+    void this.exchangeHeartbeats(stop.signal);
+    void this.sendWork(stop.signal);
     for (const {afterMs, step} of schedule) {
       await this.clock.advance(afterMs);
       this.execute(step);
@@ -92,8 +95,8 @@
     this.faults++;
     if (step.kind === 'notice') {
       const server = `server-${step.server}`;
-      if (!this.noticed.has(server)) {
-        this.noticed.set(server, this.clock.monotonicMs());
+      if (!this.noticeTimes.has(server)) {
+        this.noticeTimes.set(server, this.clock.monotonicMs());
       }
       return;
     }
@@ -106,19 +109,23 @@
       return;
     }
     if (step.kind === 'cut-platform') {
-      host.platformCut = true;
-      void this.clock.sleep(step.forMs).then(() => (host.platformCut = false));
+      host.platformDisconnected = true;
+      void this.clock
+        .sleep(step.forMs)
+        .then(() => (host.platformDisconnected = false));
       return;
     }
-    host.peersCut = true;
-    void this.clock.sleep(step.forMs).then(() => (host.peersCut = false));
+    host.peersDisconnected = true;
+    void this.clock
+      .sleep(step.forMs)
+      .then(() => (host.peersDisconnected = false));
   }
 
-  private createHost(index: number): ProofHost {
+  private createHost(index: number): SimulatedHost {
     const log = new SilentLog();
     const name = `host-${index}`;
     const leaving = new LeavingHosts(this.clock, log);
-    const host: ProofHost = {
+    const host: SimulatedHost = {
       name,
       leaving,
       watcher: new PlatformWatcher({
@@ -139,33 +146,36 @@
         leavingHosts: leaving,
         host: name,
         onOwnNotice: () => undefined,
-        pollMs: POLL_MS,
+        pollMs: POLL_INTERVAL_MS,
       }),
-      platformCut: false,
-      peersCut: false,
-      blindMs: 0,
+      platformDisconnected: false,
+      peersDisconnected: false,
+      lastIsolatedMs: 0,
     };
     return host;
   }
 
   private createHostList(index: number): HostList {
-    const cut = () => this.hosts[index]?.platformCut === true;
+    const isDisconnected = () =>
+      this.hosts[index]?.platformDisconnected === true;
     return {
       listHosts: async () =>
-        cut() ? Result.err('cut off') : Result.ok(this.listHosts()),
+        isDisconnected()
+          ? Result.err('no connection')
+          : Result.ok(this.listHosts()),
       listNotices: async () =>
-        cut()
-          ? Result.err('cut off')
+        isDisconnected()
+          ? Result.err('no connection')
           : Result.ok(this.broken ? [] : this.listNotices()),
     };
   }
 
-  /** The list shows a leaving server only after its lag. */
+  /** Lists a server as leaving only once `lagMs` has passed since its notice. */
   private listHosts(): ListedHost[] {
     const asOfMs = this.clock.monotonicMs() - this.lagMs;
-    return Array.from({length: SERVERS}, (_unused, index) => {
+    return Array.from({length: SERVER_COUNT}, (_unused, index) => {
       const name = `server-${index}`;
-      const leaving = (this.noticed.get(name) ?? Infinity) <= asOfMs;
+      const leaving = (this.noticeTimes.get(name) ?? Infinity) <= asOfMs;
       return {
         name,
         role: HostRole.BACKEND,
@@ -179,35 +189,42 @@
   }
 
   private listNotices(): ReclaimNotice[] {
-    return [...this.noticed].map(([host, atMs]) => ({
+    return [...this.noticeTimes].map(([host, atMs]) => ({
       host,
       deadlineMs: atMs + 30_000,
     }));
   }
 
-  /** Heartbeats, reduced to the word of leaving hosts. */
-  private async exchange(signal: AbortSignal): Promise<void> {
+  /** Exchanges heartbeats, reduced to the reports of leaving hosts. */
+  private async exchangeHeartbeats(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       for (const from of this.hosts) {
         for (const to of this.hosts) {
-          if (from !== to && !from.peersCut && !to.peersCut) {
+          if (from !== to && !from.peersDisconnected && !to.peersDisconnected) {
             to.leaving.addHeard(from.leaving.list(), from.name);
           }
         }
       }
-      await this.clock.sleep(HEARTBEAT_MS, signal);
+      await this.clock.sleep(HEARTBEAT_INTERVAL_MS, signal);
     }
   }
 
-  /** Every host sends work all the time, to whatever it takes for usable. */
-  private async send(signal: AbortSignal): Promise<void> {
+  /** Every host sends work every 100 ms to all servers that it considers usable. */
+  private async sendWork(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const nowMs = this.clock.monotonicMs();
-      const allBlind = this.hosts.every(host => host.platformCut);
+      const allDisconnected = this.hosts.every(
+        host => host.platformDisconnected,
+      );
       for (const host of this.hosts) {
-        const alone = host.platformCut && (host.peersCut || allBlind);
-        if (alone || (host.platformCut && this.countSighted(host) === 0)) {
-          host.blindMs = nowMs;
+        const isolated =
+          host.platformDisconnected &&
+          (host.peersDisconnected || allDisconnected);
+        if (
+          isolated ||
+          (host.platformDisconnected && this.countInformedPeers(host) === 0)
+        ) {
+          host.lastIsolatedMs = nowMs;
         }
         this.sendFrom(host, nowMs);
       }
@@ -215,14 +232,17 @@
     }
   }
 
-  /** Peers that can hear the platform and be heard by a host. */
-  private countSighted(host: ProofHost): number {
+  /** Counts the other hosts that are connected to both the platform and peers. */
+  private countInformedPeers(host: SimulatedHost): number {
     return this.hosts.filter(
-      other => other !== host && !other.platformCut && !other.peersCut,
+      other =>
+        other !== host &&
+        !other.platformDisconnected &&
+        !other.peersDisconnected,
     ).length;
   }
 
-  private sendFrom(host: ProofHost, nowMs: number): void {
+  private sendFrom(host: SimulatedHost, nowMs: number): void {
     const candidates = findCandidates({
       deployment: DEPLOYMENT,
       adapter: '',
@@ -232,13 +252,13 @@
     });
     for (const {name} of candidates) {
       this.sent++;
-      const atMs = this.noticed.get(name) ?? Infinity;
-      // A host that can hear nobody cannot know; the bound counts from when
-      // it can.
-      const sinceMs = Math.max(atMs, host.blindMs);
+      const atMs = this.noticeTimes.get(name) ?? Infinity;
+      // A host cannot know of a notice while it is isolated: the bound counts
+      // from the end of the isolation.
+      const sinceMs = Math.max(atMs, host.lastIsolatedMs);
       if (nowMs - sinceMs > LEAVING_BOUND_MS && nowMs > atMs) {
         this.violations.push(
-          `${host.name} sent work to ${name} ${nowMs - atMs} ms after its notice`,
+          `${host.name} sent work to ${name} ${nowMs - atMs} ms after its reclaim notice`,
         );
       }
     }
@@ -263,7 +283,7 @@
 };
 
 const SERVER_RECORDS: readonly Server[] = Array.from(
-  {length: SERVERS},
+  {length: SERVER_COUNT},
   (_unused, index) => ({
     name: `server-${index}`,
     kind: 'service',
@@ -277,11 +297,11 @@
   }),
 );
 
-const host = fc.integer({min: 0, max: HOSTS - 1});
+const host = fc.integer({min: 0, max: HOST_COUNT - 1});
 const steps: fc.Arbitrary<LeavingStep> = fc.oneof(
   fc.record({
     kind: fc.constant('notice' as const),
-    server: fc.integer({min: 0, max: SERVERS - 1}),
+    server: fc.integer({min: 0, max: SERVER_COUNT - 1}),
   }) as fc.Arbitrary<LeavingStep>,
   fc.record({
     kind: fc.constantFrom('cut-platform' as const, 'cut-peers' as const),
@@ -294,13 +314,13 @@
   }) as fc.Arbitrary<LeavingStep>,
 );
 
-/** A leaving host gets no new work once the bound has passed. */
+/** A leaving server receives no new work once `LEAVING_BOUND_MS` has passed. */
 export const leavingGetsNothing: Proof<LeavingSchedule> = {
   name: 'leaving-gets-nothing',
-  variant: 'believes the lagging list alone',
+  variant: 'ignores notices and relies on the delayed host list alone',
   schedules: fc.array(
     fc.record({afterMs: fc.constantFrom(0, 100, 700, 2500), step: steps}),
     {minLength: 2, maxLength: 8},
   ),
-  run: (schedule, broken) => new LeavingWorld(broken).run(schedule),
+  run: (schedule, broken) => new LeavingSimulation(broken).run(schedule),
 };
--- a/src/prove/proof.ts
+++ b/src/prove/proof.ts
@@ -1,28 +1,28 @@
 import fc from 'fast-check';
 
-/** What one run of one schedule came to. */
+/** Result of one run of one schedule. */
 export interface RunReport {
-  /** What broke the promise; empty when it held. */
+  /** Violations of the promise; empty when it held. */
   readonly violations: readonly string[];
   /** Operations of callers or operators. */
   readonly operations: number;
-  /** Faults that took effect. */
+  /** Number of injected faults. */
   readonly faults: number;
-  /** Operations that were answered as asked. */
+  /** Operations that succeeded. */
   readonly answered: number;
-  /** Operations refused with the assurance that they did not run. */
+  /** Operations rejected and reported as not executed. */
   readonly refused: number;
-  /** Operations whose outcome stayed unknown. */
+  /** Operations whose outcome remained unknown. */
   readonly unknown: number;
 }
 
-/** A promise of the system and how it is proved. */
+/** A promise of the system and the property-based test that checks it. */
 export interface Proof<Schedule> {
-  /** Name of the promise, as docs/PROMISES.md uses it. */
+  /** Name of the promise in docs/PROMISES.md. */
   readonly name: string;
-  /** What the broken variant does wrong. */
+  /** Defect of the deliberately broken variant. */
   readonly variant: string;
-  /** Schedules of operations and faults. */
+  /** Generates schedules of operations and faults. */
   readonly schedules: fc.Arbitrary<Schedule>;
   /**
    * Runs a schedule and checks its history.
@@ -32,7 +32,7 @@
   readonly run: (schedule: Schedule, broken: boolean) => Promise<RunReport>;
 }
 
-/** Result of many runs. */
+/** Totals over all generated schedules of one promise. */
 export interface ProofResult {
   readonly name: string;
   readonly histories: number;
@@ -42,21 +42,21 @@
   readonly refused: number;
   readonly unknown: number;
   readonly violations: number;
-  /** Smallest schedule found that breaks the promise, if there is one. */
+  /** Shrunk schedule that violates the promise, as JSON; absent if none was found. */
   readonly counterexample?: string;
+  /** Whether the broken variant was detected. */
   readonly variantCaught: boolean;
 }
 
-/** How to run proofs. */
+/** How many schedules to run, and with which seed. */
 export interface ProofOptions {
   readonly seed: number;
-  /** Histories per promise. */
+  /** Number of histories per promise. */
   readonly histories: number;
-  /** Most histories in which the variant must be caught. */
+  /** Number of histories within which the broken variant must be detected. */
   readonly variantHistories: number;
 }
 
-/** Totals over many runs. */
 class Totals {
   operations = 0;
   faults = 0;
@@ -78,10 +78,10 @@
 }
 
 /**
- * Runs a promise against generated schedules, then its broken variant, which
- * the checker must catch.
+ * Checks a promise against generated schedules, then runs its broken variant to
+ * show that the check detects a violation.
  * @param proof - The promise.
- * @param options - Seed and size.
+ * @param options - Seed and numbers of schedules.
  */
 export async function prove<Schedule>(
   proof: Proof<Schedule>,
--- a/src/prove/proof_host.ts
+++ b/src/prove/simulated_host.ts
@@ -2,8 +2,8 @@
 import {OnceCalls} from '../service/index.js';
 import {Gate} from './gate.js';
 
-/** One start of one entry host. */
-export interface ProofHost {
+/** One incarnation of a simulated entry host. */
+export interface SimulatedHost {
   readonly name: string;
   readonly incarnation: string;
   readonly gate: Gate;
@@ -13,11 +13,11 @@
   readonly stop: AbortController;
   leaving: boolean;
   cut: boolean;
-  /** Callers' requests being answered. */
+  /** Number of callers' requests in flight. */
   inFlight: number;
 }
 
-/** Tells whether a host takes part: it runs, is not leaving, and others reach it. */
-export function isLive({gate, leaving, cut}: ProofHost): boolean {
+/** Returns whether a host is running, is not leaving and is reachable by others. */
+export function isLive({gate, leaving, cut}: SimulatedHost): boolean {
   return gate.isOpen() && !leaving && !cut;
 }
--- a/src/prove/start_proof_host.ts
+++ b/src/prove/start_simulated_host.ts
@@ -11,21 +11,21 @@
 import {CallVariant} from './call_variant.js';
 import {FaultyTable} from './faulty_table.js';
 import {Gate, GatedClock} from './gate.js';
-import {ProofBackEnd} from './proof_back_end.js';
-import {getProofEntryKey} from './proof_call.js';
-import {isLive, ProofHost} from './proof_host.js';
+import {FakeBackEnd} from './fake_back_end.js';
+import {getRequestEntryKey} from './call_request.js';
+import {isLive, SimulatedHost} from './simulated_host.js';
 
-/** What a host of a proof is made of. */
-export interface ProofHostOptions {
+/** Dependencies of a simulated host. */
+export interface SimulatedHostOptions {
   readonly name: string;
-  /** Differs for every start. */
+  /** Unique for every incarnation of a host. */
   readonly incarnation: string;
   readonly clock: VirtualClock;
   readonly table: FaultyTable;
   readonly variant: CallVariant;
-  readonly backEnd: ProofBackEnd;
+  readonly backEnd: FakeBackEnd;
   /** Returns all hosts, this one included. */
-  readonly listHosts: () => readonly ProofHost[];
+  readonly listHosts: () => readonly SimulatedHost[];
   /** Sends a request from one host to another. */
   readonly requestPeer: (
     from: string,
@@ -33,15 +33,17 @@
   ) => ReturnType<OnceCallsOptions['requestPeer']>;
 }
 
-const LEASE_MS = 3000;
-const WATCH_MS = 1000;
-const RETRY_MS = 100;
+const LEASE_DURATION_MS = 3000;
+const WATCH_INTERVAL_MS = 1000;
+const RETRY_DELAY_MS = 100;
 const RETENTION_MS = 600_000;
-/** Keys that schedules use. */
-const KEYS = 4;
+/** Number of keys that schedules use. */
+const KEY_COUNT = 4;
 
-/** Starts a host of the product's own books and calls. */
-export function startProofHost(options: ProofHostOptions): ProofHost {
+/** Starts a simulated host with the product's own journal and call handling. */
+export function startSimulatedHost(
+  options: SimulatedHostOptions,
+): SimulatedHost {
   const {name, incarnation} = options;
   const gate = new Gate();
   const clock = new GatedClock(options.clock, gate);
@@ -75,7 +77,7 @@
   };
 }
 
-/** What a bookkeeper shares with the rest of its host. */
+/** Components that a bookkeeper shares with the rest of its host. */
 interface HostParts {
   readonly gate: Gate;
   readonly clock: GatedClock;
@@ -84,11 +86,11 @@
 }
 
 function createBookkeeper(
-  {name, incarnation, table, variant, backEnd, listHosts}: ProofHostOptions,
+  {name, incarnation, table, variant, backEnd, listHosts}: SimulatedHostOptions,
   {gate, clock, directory, mint}: HostParts,
 ): Bookkeeper {
   const log = new SilentLog();
-  const find = (to: string) => listHosts().find(host => host.name === to);
+  const findHost = (to: string) => listHosts().find(host => host.name === to);
   return new Bookkeeper({
     host: name,
     incarnation,
@@ -118,16 +120,17 @@
       acceptedRetryMs: 500,
       retentionMs: RETENTION_MS,
     },
-    recordsFirst: book => isSlotBook(book) && variant.dispatchesFirst !== true,
+    recordsFirst: book =>
+      isSlotBook(book) && variant.dispatchesBeforeRecording !== true,
     writesPerSecond: 1000,
-    leaseMs: LEASE_MS,
-    watchMs: WATCH_MS,
+    leaseMs: LEASE_DURATION_MS,
+    watchMs: WATCH_INTERVAL_MS,
     lingerMs: 20,
-    retryMs: RETRY_MS,
+    retryMs: RETRY_DELAY_MS,
     retentionMs: RETENTION_MS,
-    ownsSlot: isUsed,
+    ownsSlot: isUsedBook,
     sendBook: async (to, handover) => {
-      const peer = find(to);
+      const peer = findHost(to);
       if (peer === undefined || !peer.gate.isOpen()) {
         return false;
       }
@@ -135,7 +138,7 @@
       return peer.bookkeeper.receiveBook({...handover, entries});
     },
     sendOutcome: async (to, book, entry) => {
-      const peer = find(to);
+      const peer = findHost(to);
       return peer?.gate.isOpen() === true && !peer.cut
         ? peer.bookkeeper.addLateOutcome(book, entry)
         : false;
@@ -143,10 +146,10 @@
   });
 }
 
-/** Only the books that the keys of schedules fall into are worked with. */
-function isUsed(book: string): boolean {
-  for (let key = 0; key < KEYS; key++) {
-    if (getBookOfKey(getProofEntryKey(`key-${key}`)) === book) {
+/** Returns whether a key of the schedules belongs to the book; other books are skipped. */
+function isUsedBook(book: string): boolean {
+  for (let key = 0; key < KEY_COUNT; key++) {
+    if (getBookOfKey(getRequestEntryKey(`key-${key}`)) === book) {
       return true;
     }
   }
--- a/src/prove/stream_proofs.ts
+++ b/src/prove/stream_proofs.ts
@@ -1,21 +1,25 @@
 import {Proof} from './proof.js';
 import {createStreamSchedules, StreamSchedule} from './stream_schedule.js';
-import {StreamWorld} from './stream_world.js';
+import {StreamSimulation} from './stream_simulation.js';
 
-/** Each caller gets its own stream, with no token missing, doubled or crossed. */
+/** Each caller receives its own stream: no token missing, duplicated or of another request. */
 export const wholeStreams: Proof<StreamSchedule> = {
   name: 'whole-streams',
-  variant: 'passes tokens on without a look at whose they are',
+  variant: 'forwards tokens without checking their request and position',
   schedules: createStreamSchedules(false),
   run: (schedule, broken) =>
-    new StreamWorld(broken ? {checksNothing: true} : {}, false).run(schedule),
+    new StreamSimulation(broken ? {skipsTokenCheck: true} : {}, false).run(
+      schedule,
+    ),
 };
 
-/** A running generation survives every announced reclaim of its server. */
+/** A running generation completes despite every announced reclaim of its server. */
 export const reclaimCutsNothing: Proof<StreamSchedule> = {
   name: 'reclaim-cuts-nothing',
-  variant: 'ends the stream of a server that goes',
+  variant: 'fails the stream when its server is reclaimed',
   schedules: createStreamSchedules(true),
   run: (schedule, broken) =>
-    new StreamWorld(broken ? {givesUp: true} : {}, true).run(schedule),
+    new StreamSimulation(broken ? {disablesRecovery: true} : {}, true).run(
+      schedule,
+    ),
 };
--- a/src/prove/stream_schedule.ts
+++ b/src/prove/stream_schedule.ts
@@ -14,11 +14,12 @@
       readonly noticeMs: number;
     }
   | {
+      /** Breaks off or stalls the engine's next stream, or corrupts one of its tokens. */
       readonly kind: 'break' | 'silence' | 'cross' | 'double' | 'skip';
       readonly engine: number;
     };
 
-/** A schedule: each step comes a while after the one before. */
+/** Steps in order; `afterMs` is the delay since the previous step. */
 export type StreamSchedule = readonly {
   readonly afterMs: number;
   readonly step: StreamStep;
@@ -27,7 +28,7 @@
 const engine = fc.integer({min: 0, max: 2});
 
 /**
- * Schedules of generations and faults.
+ * Generates schedules of generations and faults.
  * @param announcedOnly - Whether reclaims with notice are the only faults.
  */
 export function createStreamSchedules(
@@ -47,7 +48,7 @@
     engine,
     noticeMs: fc.constantFrom(0, 300, 1000, 3000),
   });
-  const spoil = fc.record({
+  const streamFault = fc.record({
     kind: fc.constantFrom(
       'break' as const,
       'silence' as const,
@@ -63,7 +64,7 @@
     {weight: 2, arbitrary: reclaim as fc.Arbitrary<StreamStep>},
     ...(announcedOnly
       ? []
-      : [{weight: 4, arbitrary: spoil as fc.Arbitrary<StreamStep>}]),
+      : [{weight: 4, arbitrary: streamFault as fc.Arbitrary<StreamStep>}]),
   );
   return fc.array(
     fc.record({afterMs: fc.constantFrom(0, 20, 200, 1000), step}),
--- a/src/prove/stream_world.ts
+++ b/src/prove/stream_simulation.ts
@@ -16,34 +16,34 @@
 import {chooseServer, RetryBudget, ServerDirectory} from '../routing/index.js';
 import {VirtualClock} from '../time/index.js';
 import {RunReport} from './proof.js';
-import {SpoiltEngine} from './spoilt_engine.js';
+import {FaultyEngine} from './faulty_engine.js';
 import {StreamSchedule, StreamStep} from './stream_schedule.js';
 
-/** How a variant differs from the product. */
+/** Defects of a deliberately broken variant; all unset in the product itself. */
 export interface StreamVariant {
-  /** Tokens are passed on without a look at whose they are. */
-  readonly checksNothing?: boolean;
-  /** A server that fails ends the stream. */
-  readonly givesUp?: boolean;
+  /** Tokens are forwarded without checking their request and position. */
+  readonly skipsTokenCheck?: boolean;
+  /** Streams are neither retried after a failure nor moved off a reclaimed server. */
+  readonly disablesRecovery?: boolean;
 }
 
-const ENGINES = 3;
+const ENGINE_COUNT = 3;
 const DECODE_MS = 10;
 const SETTLE_MS = 60_000;
 const DEADLINE_MS = 50_000;
 
-/** A reader of one generation, which may come back after losing its place. */
-interface Reading {
+/** A caller's reading of one generation, which it may resume after a disconnection. */
+interface StreamReader {
   readonly generation: Generation;
   readonly texts: string[];
   outcome: 'open' | 'finished' | 'failed';
 }
 
-/** One entry host's generations over three engines, on a virtual clock. */
-export class StreamWorld {
+/** Simulates the generations of one entry host on three engines, on a virtual clock. */
+export class StreamSimulation {
   private readonly clock = new VirtualClock();
-  private readonly engines: SpoiltEngine[] = [];
-  private readonly readings: Reading[] = [];
+  private readonly engines: FaultyEngine[] = [];
+  private readonly readers: StreamReader[] = [];
   private readonly notices = new Map<string, number>();
   private readonly directory: ServerDirectory;
   private readonly runner: GenerationRunner;
@@ -55,14 +55,14 @@
     private readonly mustFinish: boolean,
   ) {
     const configuration = createConfiguration();
-    for (let index = 0; index < ENGINES; index++) {
-      this.engines.push(new SpoiltEngine(this.createEngine(index), this.clock));
+    for (let index = 0; index < ENGINE_COUNT; index++) {
+      this.engines.push(new FaultyEngine(this.createEngine(index), this.clock));
     }
     this.directory = new ServerDirectory(
       {
         createEngine: server => this.getEngine(Number(server.name.slice(-1))),
         createService: () => {
-          throw new Error('there are only engines here');
+          throw new Error('the simulation has no service servers');
         },
       },
       this.clock,
@@ -79,7 +79,7 @@
       random: new SeededRandom(1),
       directory: this.directory,
       budget:
-        variant.givesUp === true
+        variant.disablesRecovery === true
           ? Object.assign(budget, {spend: () => false})
           : budget,
       quarantine: new Quarantine({...common, metrics: new Metrics()}),
@@ -88,8 +88,10 @@
       meter: {addToken: () => undefined},
       lengths,
       chooseServer,
-      checkToken: variant.checksNothing === true ? () => undefined : checkToken,
-      isLeaving: server => variant.givesUp !== true && this.notices.has(server),
+      checkToken:
+        variant.skipsTokenCheck === true ? () => undefined : checkToken,
+      isLeaving: server =>
+        variant.disablesRecovery !== true && this.notices.has(server),
       firstTokenSilenceMs: 5000,
       silenceMs: 1000,
     });
@@ -109,7 +111,7 @@
   async run(schedule: StreamSchedule): Promise<RunReport> {
     const stop = new AbortController();
     void this.pollLoads(stop.signal);
-    if (this.variant.givesUp !== true) {
+    if (this.variant.disablesRecovery !== true) {
       void this.watch.run(stop.signal);
     }
     await this.clock.advance(600);
@@ -128,7 +130,7 @@
       return;
     }
     if (step.kind === 'reattach') {
-      const reading = this.readings[step.reading % (this.readings.length || 1)];
+      const reading = this.readers[step.reading % (this.readers.length || 1)];
       if (reading !== undefined) {
         void this.read(reading);
       }
@@ -138,14 +140,14 @@
     const engine = this.getEngine(step.engine);
     if (step.kind === 'reclaim') {
       const {name} = engine.engine.options;
-      const isLast = this.notices.size >= ENGINES - 1;
+      const isLast = this.notices.size >= ENGINE_COUNT - 1;
       if (!isLast && !this.notices.has(name)) {
         this.notices.set(name, this.clock.monotonicMs() + step.noticeMs);
         void this.clock.sleep(step.noticeMs).then(() => engine.kill());
       }
       return;
     }
-    engine.spoil = step.kind;
+    engine.nextFault = step.kind;
   }
 
   private generate(prompt: number, tokens: number): void {
@@ -153,7 +155,7 @@
     const body = {prompt: `lot ${prompt} `.repeat(20), max_tokens: tokens};
     const generation = new Generation(
       {
-        id: `generation-${this.readings.length}`,
+        id: `generation-${this.readers.length}`,
         customer: 'north-house',
         deployment: 'dossier',
         adapter: '',
@@ -165,18 +167,18 @@
       [],
       nowMs,
     );
-    const reading: Reading = {generation, texts: [], outcome: 'open'};
-    this.readings.push(reading);
+    const reading: StreamReader = {generation, texts: [], outcome: 'open'};
+    this.readers.push(reading);
     void this.runner.run(generation, new AbortController().signal);
     void this.read(reading);
   }
 
-  /** Reads on from the last token seen, as a caller does that came back. */
-  private async read(reading: Reading): Promise<void> {
-    const gone = new AbortController();
+  /** Reads from the position after the last token received, as a caller does that reconnects. */
+  private async read(reading: StreamReader): Promise<void> {
+    const abort = new AbortController();
     const events = reading.generation.read(
       reading.texts.length,
-      gone.signal,
+      abort.signal,
       () => this.clock.monotonicMs(),
     );
     for await (const event of events) {
@@ -193,28 +195,30 @@
   private report(): RunReport {
     const violations: string[] = [];
     let answered = 0;
-    for (const {generation, texts, outcome} of this.readings) {
+    for (const {generation, texts, outcome} of this.readers) {
       const expected = getExpectedTokens(generation.request.body);
-      const whole = texts.join('') === expected.join('');
-      const prefix = expected.join('').startsWith(texts.join(''));
+      const isComplete = texts.join('') === expected.join('');
+      const isPrefix = expected.join('').startsWith(texts.join(''));
       answered += outcome === 'finished' ? 1 : 0;
-      if (outcome === 'finished' && !whole) {
-        violations.push(`${generation.request.id} is not whole`);
+      if (outcome === 'finished' && !isComplete) {
+        violations.push(`${generation.request.id} finished, but is incomplete`);
       }
-      if (!prefix) {
-        violations.push(`${generation.request.id} got tokens of others`);
+      if (!isPrefix) {
+        violations.push(
+          `${generation.request.id} has tokens that are not its own`,
+        );
       }
       if (outcome !== 'finished' && this.mustFinish) {
-        violations.push(`${generation.request.id} was cut off`);
+        violations.push(`${generation.request.id} did not finish`);
       }
     }
     return {
       violations,
-      operations: this.readings.length,
+      operations: this.readers.length,
       faults: this.faults,
       answered,
       refused: 0,
-      unknown: this.readings.length - answered,
+      unknown: this.readers.length - answered,
     };
   }
 
@@ -237,10 +241,10 @@
       : deadlineMs - this.clock.monotonicMs();
   }
 
-  private getEngine(index: number): SpoiltEngine {
-    const engine = this.engines[index % ENGINES];
+  private getEngine(index: number): FaultyEngine {
+    const engine = this.engines[index % ENGINE_COUNT];
     if (engine === undefined) {
-      throw new Error(`there is no engine ${index}`);
+      throw new Error(`no engine with index ${index}`);
     }
     return engine;
   }
@@ -263,7 +267,7 @@
 
 function createConfiguration(): ConfigurationStore {
   const store = new ConfigurationStore(new SilentLog());
-  const servers = Array.from({length: ENGINES}, (_unused, index) => ({
+  const servers = Array.from({length: ENGINE_COUNT}, (_unused, index) => ({
     schemaVersion: 2,
     kind: RecordKind.SERVER,
     name: `engine-${index}`,
--- a/test/prove/found_faults_test.ts
+++ b/test/prove/found_faults_test.ts
@@ -6,11 +6,14 @@
   refusalsAreTrue,
 } from '../../src/prove/call_proofs.js';
 import {configurationHolds} from '../../src/prove/configuration_proof.js';
-import {leasesExclude} from '../../src/prove/lease_world.js';
+import {leasesExclude} from '../../src/prove/lease_simulation.js';
 import {reclaimCutsNothing} from '../../src/prove/stream_proofs.js';
 
-/** Shrunk schedules that once broke a promise; each names its cause. */
-describe('faults that proofs have found', () => {
+/**
+ * Regression tests: shrunk schedules that once violated a promise. Each title
+ * names the fault that caused the violation.
+ */
+describe('faults found by generated histories', () => {
   function at(afterMs: number, step: CallStep): CallSchedule[number] {
     return {afterMs, step};
   }
@@ -20,15 +23,15 @@
   }
 
   describe('calls', () => {
-    async function doTest(
+    async function expectNoViolations(
       proof: typeof atMostOnce,
       schedule: CallSchedule,
     ): Promise<void> {
       expect((await proof.run(schedule, false)).violations).to.deep.equal([]);
     }
 
-    it('a call under way was handed over as merely accepted', () =>
-      doTest(atMostOnce, [
+    it('a running call was handed over as accepted but not yet dispatched', () =>
+      expectNoViolations(atMostOnce, [
         at(0, call(1, 0, true)),
         at(10, {kind: 'leave', host: 1}),
         at(0, call(0, 0)),
@@ -36,8 +39,8 @@
         at(0, call(0, 0)),
       ]));
 
-    it('a book was handed over between a record and its notice', () =>
-      doTest(atMostOnce, [
+    it('a book was handed over after a record was durable but before it was marked so', () =>
+      expectNoViolations(atMostOnce, [
         at(0, call(0, 0, true)),
         at(10, call(0, 0)),
         at(0, call(0, 0)),
@@ -45,8 +48,8 @@
         at(0, {kind: 'freeze', host: 1, forMs: 2000}),
       ]));
 
-    it('late word of one attempt was taken for word of a later one', () =>
-      doTest(atMostOnce, [
+    it('a delayed outcome of one attempt was applied to a later attempt', () =>
+      expectNoViolations(atMostOnce, [
         at(0, {kind: 'freeze', host: 0, forMs: 2046}),
         at(0, {kind: 'duplicate', forMs: 3062}),
         at(0, call(0, 3)),
@@ -57,8 +60,8 @@
         at(0, {...call(0, 3), timeoutMs: 1500} as CallStep),
       ]));
 
-    it('a caller that joined a running call was told "accepted"', () =>
-      doTest(acceptedSurvives, [
+    it('a caller that joined a running call received "accepted"', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, call(0, 0, true)),
         at(0, {kind: 'service', fault: 'refuses', forMs: 119}),
         at(0, {kind: 'duplicate', forMs: 100}),
@@ -67,8 +70,8 @@
         at(0, call(1, 0)),
       ]));
 
-    it('a late write of the old holder took the book from the new one', () =>
-      doTest(acceptedSurvives, [
+    it('a delayed write of the former holder took the book from the new holder', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, call(1, 0, true)),
         at(0, {kind: 'table', fault: 'answer-lost', forMs: 1111}),
         at(0, {kind: 'restart', host: 1}),
@@ -76,8 +79,8 @@
         at(0, call(0, 0)),
       ]));
 
-    it('a leaving host did not wait for the calls of books handed on', () =>
-      doTest(acceptedSurvives, [
+    it('a leaving host did not wait for the running calls of books it had handed over', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, call(1, 0, true)),
         at(0, {kind: 'service', fault: 'refuses', forMs: 100}),
         at(0, call(0, 0)),
@@ -85,16 +88,16 @@
         at(0, {kind: 'restart', host: 2}),
       ]));
 
-    it('an outcome was dropped while the new holder was not known', () =>
-      doTest(acceptedSurvives, [
+    it('an outcome was dropped while the new holder was unknown', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, call(1, 2, true)),
         at(10, {kind: 'freeze', host: 0, forMs: 3021}),
         at(0, call(0, 0)),
         at(0, {kind: 'service', fault: 'refuses', forMs: 100}),
       ]));
 
-    it('the last host to leave did not write what it knew', () =>
-      doTest(acceptedSurvives, [
+    it('the last host to leave did not write the entries it held', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, {kind: 'leave', host: 1}),
         at(0, call(0, 1, true)),
         at(10, {kind: 'table', fault: 'down', forMs: 1904}),
@@ -103,8 +106,8 @@
         at(0, {kind: 'restart', host: 0}),
       ]));
 
-    it('word was sent of an attempt that the next holder never saw', () =>
-      doTest(acceptedSurvives, [
+    it('an outcome was sent for an attempt that the next holder did not know', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, {kind: 'service', fault: 'refuses', forMs: 1097}),
         at(0, call(0, 2, true)),
         at(900, call(0, 0)),
@@ -114,8 +117,8 @@
         at(0, {kind: 'freeze', host: 0, forMs: 3931}),
       ]));
 
-    it('a record in doubt outlived two changes of holder', () =>
-      doTest(acceptedSurvives, [
+    it('an in-doubt record remained through two changes of holder', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, {kind: 'leave', host: 2}),
         at(900, {kind: 'cut', host: 0, forMs: 100}),
         at(900, {kind: 'cut', host: 0, forMs: 100}),
@@ -127,8 +130,8 @@
         at(0, {kind: 'restart', host: 0}),
       ]));
 
-    it('all hosts left, and the next one had to go on', () =>
-      doTest(acceptedSurvives, [
+    it('all hosts left, and the next host had to continue their calls', () =>
+      expectNoViolations(acceptedSurvives, [
         at(0, {kind: 'service', fault: 'refuses', forMs: 100}),
         at(0, call(0, 0, true)),
         at(10, {kind: 'leave', host: 2}),
@@ -136,8 +139,8 @@
         at(0, {kind: 'leave', host: 1}),
       ]));
 
-    it('a copy that came late ran what had been refused', () =>
-      doTest(refusalsAreTrue, [
+    it('a delayed duplicate ran a call that had been refused', () =>
+      expectNoViolations(refusalsAreTrue, [
         at(0, {kind: 'cut', host: 2, forMs: 100}),
         at(0, {...call(0, 1), timeoutMs: 5000} as CallStep),
         at(0, {kind: 'table', fault: 'answer-lost', forMs: 1006}),
@@ -150,7 +153,7 @@
   });
 
   describe('configuration', () => {
-    it('a host that had just started spoke for hosts it had not met', async () => {
+    it('a newly started host reported a revision in force for hosts it did not know', async () => {
       const change = (host: number, record: number) => ({
         afterMs: 0,
         step: {kind: 'change' as const, host, record, version: 1},
@@ -169,7 +172,7 @@
   });
 
   describe('streams', () => {
-    it('a finished stream kept its place on the server', async () => {
+    it('a finished stream kept its slot on the server', async () => {
       const generate = {
         afterMs: 0,
         step: {kind: 'generate' as const, prompt: 0, tokens: 1},
@@ -195,7 +198,7 @@
   });
 
   describe('leases', () => {
-    it('a claim between the halves of a release kept the lease', async () => {
+    it('a claim between the read and the write of a release kept the lease', async () => {
       const report = await leasesExclude.run(
         [
           {afterMs: 3000, step: {kind: 'late-orders', forMs: 300}},
@@ -209,7 +212,7 @@
       expect(report.violations).to.deep.equal([]);
     });
 
-    it('an answer that came after the release granted the lease', async () => {
+    it('a claim answered after the release granted the lease', async () => {
       const report = await leasesExclude.run(
         [
           {
--- a/test/prove/proofs_test.ts
+++ b/test/prove/proofs_test.ts
@@ -1,16 +1,16 @@
 import {expect} from 'chai';
 import {PROOFS} from '../../src/prove/index.js';
 
-/** Fixed, so that CI's verdict is the same every time. */
+/** Fixed, so that every CI run checks the same schedules. */
 const SEED = 4;
 const HISTORIES = 60;
 const VARIANT_HISTORIES = 3000;
 
-describe('promises, by generated histories', function () {
+describe('promises, checked by generated histories', function () {
   this.timeout(120_000);
 
   for (const [name, runProof] of PROOFS) {
-    it(`${name} holds, and its broken variant is caught`, async () => {
+    it(`${name} holds, and its broken variant is detected`, async () => {
       const result = await runProof({
         seed: SEED,
         histories: HISTORIES,
