--- a/src/measure/baselines.ts
+++ b/src/measure/baselines.ts
@@ -1,23 +1,29 @@
-/** Baselines that routing is measured against. */
+/** Baseline policies that the routing is compared with. */
 import {hashText} from '../random/index.js';
 import {ChooseServer, getUsable, ServerKnowledge} from '../routing/index.js';
 
-/** Any usable server, by chance. */
+/** Chooses a usable server at random. */
 export const chooseAtRandom: ChooseServer = (request, servers, random) => {
   const usable = getUsable(request, servers);
-  return decide(usable[Math.floor(random.next() * usable.length)], 'random');
+  return createDecision(
+    usable[Math.floor(random.next() * usable.length)],
+    'random',
+  );
 };
 
-/** Each usable server in turn. */
+/** Creates a policy that chooses the usable servers in turn. */
 export function createRoundRobin(): ChooseServer {
   let turn = 0;
   return (request, servers) => {
     const usable = getUsable(request, servers);
-    return decide(usable[turn++ % Math.max(1, usable.length)], 'round-robin');
+    return createDecision(
+      usable[turn++ % Math.max(1, usable.length)],
+      'round-robin',
+    );
   };
 }
 
-/** The server with the fewest requests of this host in flight. */
+/** Chooses the server with the fewest in-flight requests of this host. */
 export const chooseLeastInFlight: ChooseServer = (request, servers) => {
   let best: ServerKnowledge | undefined;
   for (const known of getUsable(request, servers)) {
@@ -25,10 +31,10 @@
       best = known;
     }
   }
-  return decide(best, 'least-in-flight');
+  return createDecision(best, 'least-in-flight');
 };
 
-/** The server a prompt's length and prefix hash to, whatever its queue. */
+/** Chooses the server by rendezvous hashing of the prompt's prefix, whatever its queue. */
 export const chooseByPrefixHash: ChooseServer = (request, servers) => {
   const usable = getUsable(request, servers);
   let best: ServerKnowledge | undefined;
@@ -40,10 +46,10 @@
       bestHash = hash;
     }
   }
-  return decide(best, 'prefix-hash');
+  return createDecision(best, 'prefix-hash');
 };
 
-function decide(known: ServerKnowledge | undefined, reason: string) {
+function createDecision(known: ServerKnowledge | undefined, reason: string) {
   return known === undefined
     ? {runnersUp: [], reason: 'no-server'}
     : {
--- a/src/measure/emulated_server.ts
+++ b/src/measure/emulated_server.ts
@@ -1,30 +1,31 @@
 import {PartMemory, PromptPart} from '../fleet/index.js';
 import {Clock} from '../time/index.js';
 
-/** What an emulated server does, from the users' sheets. */
+/** Characteristics of a server, from the users' deployment descriptions. */
 export const SERVER_TRAITS = {
-  /** Requests that run at once. */
+  /** Maximum number of concurrent requests. */
   slots: 64,
-  /** Tokens of running requests and cached parts together. */
+  /** Cache capacity, in tokens of running requests and cached parts together. */
   cacheTokens: 796_656,
-  prefillPerMs: 101,
-  /** Time of a decoding step, in milliseconds, and what each stream adds. */
+  prefillTokensPerMs: 101,
+  /** Base time of a decoding step and the time added by each stream, in ms. */
   stepMs: 2.97,
   stepPerStreamMs: 0.03,
-  /** Share of the time that decoding leaves to prompts. */
+  /** Share of the time that is left for prefill beside decoding. */
   prefillShare: 0.8,
 } as const;
 
-/** What a run came to at its server. */
+/** Prefill work of one request at its server. */
 export interface EmulatedRun {
-  /** Shared parts that this server had to compute. */
+  /** Shared parts that were not cached, so this server had to compute them. */
   readonly sharedParts: readonly PromptPart[];
   readonly computedTokens: number;
 }
 
 /**
- * A batching engine: prompts are computed one after the other beside the streams
- * that run, cached parts are not computed again, the least recently used yield.
+ * Emulates a batching engine. Prompts are computed one after the other while
+ * streams are decoded; cached parts are not computed again, and the least
+ * recently used parts are evicted.
  */
 export class EmulatedServer {
   private readonly memory = new PartMemory(SERVER_TRAITS.cacheTokens);
@@ -37,8 +38,8 @@
   ) {}
 
   /**
-   * Computes a prompt; resolves with its first token.
-   * @param parts - Parts of the prompt; the last is the request's own.
+   * Computes a prompt; resolves when its first token is ready.
+   * @param parts - Parts of the prompt; the last is not shared with other requests.
    */
   async prefill(parts: readonly PromptPart[]): Promise<EmulatedRun> {
     const cached = this.memory.countCachedTokens(parts);
@@ -48,14 +49,15 @@
     const computedTokens = sumTokens(parts) - cached;
     this.memory.add(parts);
     const nowMs = this.clock.monotonicMs();
-    const {prefillPerMs, prefillShare} = SERVER_TRAITS;
+    const {prefillTokensPerMs, prefillShare} = SERVER_TRAITS;
     const startMs = Math.max(nowMs, this.prefillEndMs);
-    this.prefillEndMs = startMs + computedTokens / prefillPerMs / prefillShare;
+    this.prefillEndMs =
+      startMs + computedTokens / prefillTokensPerMs / prefillShare;
     await this.clock.sleep(this.prefillEndMs - nowMs);
     return {computedTokens, sharedParts};
   }
 
-  /** Generates an answer; resolves with its last token. */
+  /** Decodes an answer of the given length; resolves when its last token is ready. */
   async decode(tokens: number): Promise<void> {
     this.running++;
     const {stepMs, stepPerStreamMs} = SERVER_TRAITS;
--- a/src/measure/experiments.ts
+++ b/src/measure/experiments.ts
@@ -6,47 +6,48 @@
   createRoundRobin,
 } from './baselines.js';
 import {Figures} from './figures.js';
-import {MeasuredWorld} from './measured_world.js';
-import {WorldEvent, WorldPlan} from './world_plan.js';
+import {PolicySimulation} from './policy_simulation.js';
+import {SimulationEvent, SimulationPlan} from './simulation_plan.js';
 import {CASILLAS, GUILD, Profile} from './workload.js';
 
-/** A policy in an experiment. */
+/** One of the policies that an experiment compares. */
 export interface Policy {
   readonly name: string;
-  /** The product's own policy; the others are baselines. */
+  /** Whether this is the product's own policy; the others are baselines. */
   readonly isOurs: boolean;
-  readonly change: Partial<WorldPlan>;
+  /** Values of the plan that differ from the experiment's. */
+  readonly change: Partial<SimulationPlan>;
 }
 
-/** One situation in which policies are compared. */
+/** One scenario in which policies are compared. */
 export interface Experiment {
   readonly name: string;
   readonly profile: Profile;
   readonly policies: readonly Policy[];
-  readonly plan: Partial<WorldPlan>;
+  readonly plan: Partial<SimulationPlan>;
 }
 
-/** Figures of one policy under each seed. */
+/** Figures of one policy, one entry per seed. */
 export interface PolicyResult {
   readonly experiment: Experiment;
   readonly policy: Policy;
   readonly runs: readonly Figures[];
 }
 
-/** Both deployments: four data centres with two model servers each. */
+/** Model servers per data centre, the same for both user groups. */
 const SERVERS_PER_CENTRE = [2, 2, 2, 2];
 
 /**
- * Requests a second at which both profiles use about 55% of the places, as
- * capacity 128 / (tokens x 20 ms + prefill) gives.
+ * Requests per second at which both profiles use about 55% of the capacity, which
+ * is 128 concurrent generations of (tokens x 20 ms + prefill) each.
  */
-const STEADY_RATE: Readonly<Record<string, number>> = {
+const STEADY_RATE_PER_S: Readonly<Record<string, number>> = {
   guild: 25,
   casillas: 70,
 };
-/** How much longer answers are in reclaim waves than in steady load. */
+/** Factor by which answers are longer in reclaim waves than under steady load. */
 const WAVE_ANSWER_FACTOR = 12;
-/** Requests a second that the eight servers can just carry. */
+/** Highest load that the eight servers can sustain, in requests per second. */
 export const FULL_RATE: Readonly<Record<string, number>> = {
   guild: 45,
   casillas: 130,
@@ -63,18 +64,18 @@
 const NO_ADMISSION: Policy = {
   name: 'no-admission',
   isOurs: false,
-  change: {admits: false},
+  change: {usesAdmissionControl: false},
 };
 const RECOMPUTE: Policy = {
   name: 'recompute-always',
   isOurs: false,
-  change: {movesOnNotice: false},
+  change: {migratesOnNotice: false},
 };
 
 /**
  * Lists the experiments.
  * @param durationMs - Length of each run, in virtual milliseconds.
- * @param quick - Whether to leave out the points between the ends of curves.
+ * @param quick - Whether to omit the intermediate points of curves.
  */
 export function listExperiments(
   durationMs: number,
@@ -83,21 +84,21 @@
   const factors = quick ? [1, 4] : [0.5, 1, 1.5, 2, 3, 4];
   const notices = quick ? [5, 15] : [5, 15, 30];
   return [GUILD, CASILLAS].flatMap(profile => [
-    createSteady(profile),
-    ...factors.map(factor => createOffered(profile, factor)),
-    createRecovery(profile, durationMs),
-    ...notices.map(notice => createWave(profile, notice, durationMs)),
-    createEvent(profile, 'centre-lost', [
+    createSteadyLoad(profile),
+    ...factors.map(factor => createOfferedLoad(profile, factor)),
+    createOverloadRecovery(profile, durationMs),
+    ...notices.map(notice => createReclaimWave(profile, notice, durationMs)),
+    createEventExperiment(profile, 'centre-lost', [
       {kind: 'reclaim', atMs: durationMs / 3, dataCentre: 0, noticeMs: 0},
     ]),
-    createEvent(profile, 'slow-server', [
+    createEventExperiment(profile, 'slow-server', [
       {kind: 'slow', atMs: 1000, server: 0, factor: 6},
     ]),
-    createFlood(profile, durationMs),
+    createCustomerFlood(profile, durationMs),
   ]);
 }
 
-/** Runs an experiment under each policy and seed; seeds are paired. */
+/** Runs an experiment for each policy, with the same seeds for every policy. */
 export async function runExperiment(
   experiment: Experiment,
   seeds: readonly number[],
@@ -107,27 +108,27 @@
   for (const policy of experiment.policies) {
     const runs: Figures[] = [];
     for (const seed of seeds) {
-      const world = new MeasuredWorld({
+      const simulation = new PolicySimulation({
         profile: experiment.profile,
         seed,
         durationMs,
-        ratePerSecond: STEADY_RATE[experiment.profile.name] ?? 1,
+        ratePerSecond: STEADY_RATE_PER_S[experiment.profile.name] ?? 1,
         chooseServer: () => chooseServer,
-        admits: true,
-        movesOnNotice: true,
+        usesAdmissionControl: true,
+        migratesOnNotice: true,
         events: [],
         serversPerCentre: SERVERS_PER_CENTRE,
         ...experiment.plan,
         ...policy.change,
       });
-      runs.push(await world.run());
+      runs.push(await simulation.run());
     }
     results.push({experiment, policy, runs});
   }
   return results;
 }
 
-function createSteady(profile: Profile): Experiment {
+function createSteadyLoad(profile: Profile): Experiment {
   const baselines = ROUTING.map(([name, choose]) => ({
     name,
     isOurs: false,
@@ -141,7 +142,7 @@
   };
 }
 
-function createOffered(profile: Profile, factor: number): Experiment {
+function createOfferedLoad(profile: Profile, factor: number): Experiment {
   return {
     name: `offered-${factor}`,
     profile,
@@ -150,8 +151,11 @@
   };
 }
 
-/** Four times the capacity for a third of the run, then half of it. */
-function createRecovery(profile: Profile, durationMs: number): Experiment {
+/** Offers four times the full rate for a third of the run, then half of it. */
+function createOverloadRecovery(
+  profile: Profile,
+  durationMs: number,
+): Experiment {
   const full = FULL_RATE[profile.name] ?? 1;
   return {
     name: 'recovery',
@@ -164,12 +168,13 @@
   };
 }
 
-function createWave(
+function createReclaimWave(
   profile: Profile,
   noticeSeconds: number,
   durationMs: number,
 ): Experiment {
-  // Answers must outlast the notice, or there is nothing to decide.
+  // Answers must take longer than the notice: a generation that finishes within
+  // it needs neither migration nor recomputation.
   const long = {
     ...profile,
     answerTokens: profile.answerTokens * WAVE_ANSWER_FACTOR,
@@ -179,7 +184,8 @@
     profile: long,
     policies: [OURS, RECOMPUTE],
     plan: {
-      ratePerSecond: (STEADY_RATE[profile.name] ?? 1) / WAVE_ANSWER_FACTOR,
+      ratePerSecond:
+        (STEADY_RATE_PER_S[profile.name] ?? 1) / WAVE_ANSWER_FACTOR,
       events: [
         {
           kind: 'reclaim',
@@ -192,10 +198,10 @@
   };
 }
 
-function createEvent(
+function createEventExperiment(
   profile: Profile,
   name: string,
-  events: readonly WorldEvent[],
+  events: readonly SimulationEvent[],
 ): Experiment {
   const leastInFlight: Policy = {
     name: 'least-in-flight',
@@ -205,7 +211,7 @@
   return {name, profile, policies: [OURS, leastInFlight], plan: {events}};
 }
 
-function createFlood(profile: Profile, durationMs: number): Experiment {
+function createCustomerFlood(profile: Profile, durationMs: number): Experiment {
   const full = FULL_RATE[profile.name] ?? 1;
   return {
     name: 'flood',
--- a/src/measure/figures.ts
+++ b/src/measure/figures.ts
@@ -2,9 +2,9 @@
 import {Generation} from '../generation/index.js';
 import {Clock} from '../time/index.js';
 
-/** What one run came to. */
+/** Results of one run. */
 export interface Figures {
-  /** Requests that came in, returns of refused callers included. */
+  /** Requests received, including retries of refused callers. */
   readonly requests: number;
   readonly answered: number;
   readonly inTime: number;
@@ -15,28 +15,28 @@
   readonly recomputedTokens: number;
   /** Share of prompt tokens found in caches. */
   readonly hitShare: number;
-  /** Answers in time per second. */
+  /** Answers per second that met the latency target. */
   readonly goodput: number;
-  /** Share of the requests of each customer answered in time. */
+  /** Share of each customer's requests that were answered within the latency target. */
   readonly inTimeByCustomer: ReadonlyMap<string, number>;
-  /** Answers in time per second, second by second. */
+  /** Number of answers within the latency target, for each second of the run. */
   readonly timeline: readonly number[];
 }
 
-/** Counts of an engine that figures are made of. */
+/** Counters of an engine from which figures are computed. */
 interface EngineCounts {
   readonly prefillTokens: number;
   readonly cachedTokens: number;
   readonly recomputedTokens: number;
 }
 
-/** Tally of one customer. */
+/** Request counts of one customer. */
 interface CustomerTally {
   asked: number;
   inTime: number;
 }
 
-/** Collects what callers see. */
+/** Collects the results that callers observe. */
 export class FigureCollector {
   private answered = 0;
   private inTime = 0;
@@ -53,8 +53,8 @@
     this.getTally(customer).asked++;
   }
 
-  /** Follows a generation to its end, as its caller does. */
-  async follow(
+  /** Reads a generation to its end, as its caller does, and measures its latencies. */
+  async measureGeneration(
     generation: Generation,
     startMs: number,
     deployment: Deployment,
@@ -99,7 +99,7 @@
     this.firstTokens.push(firstMs ?? clock.monotonicMs() - startMs);
   }
 
-  /** Sums everything up. */
+  /** Computes the figures of the run. */
   getFigures(durationMs: number, engines: readonly EngineCounts[]): Figures {
     const sum = (pick: (counts: EngineCounts) => number) =>
       engines.reduce((total, counts) => total + pick(counts), 0);
@@ -132,7 +132,7 @@
   }
 }
 
-/** Returns the value that a share of all values does not exceed. */
+/** Returns the smallest value that at least the given share of values does not exceed. */
 export function getPercentile(
   values: readonly number[],
   share: number,
--- a/src/measure/format_curve.ts
+++ b/src/measure/format_curve.ts
@@ -1,4 +1,4 @@
-/** A named curve. */
+/** A named curve of a plot. */
 export interface Curve {
   readonly name: string;
   readonly points: readonly {readonly x: number; readonly y: number}[];
@@ -10,11 +10,11 @@
 const COLOURS = ['#1b6ca8', '#c0392b', '#27815c'];
 
 /**
- * Draws curves as SVG.
+ * Renders curves as an SVG plot.
  * @param title - Title above the plot.
- * @param xLabel - What x stands for.
- * @param yLabel - What y stands for.
- * @param curves - The curves.
+ * @param xLabel - Label of the x axis.
+ * @param yLabel - Label of the y axis.
+ * @param curves - Curves to draw; all share both axes.
  */
 export function formatCurve(
   title: string,
--- a/src/measure/index.ts
+++ b/src/measure/index.ts
@@ -1,4 +1,4 @@
-/** Measurements of the decisions against baselines, on a virtual clock. */
+/** Comparisons of the system's decisions with baselines, on a virtual clock. */
 export {FULL_RATE, listExperiments, runExperiment} from './experiments.js';
 export type {Experiment, Policy, PolicyResult} from './experiments.js';
 export type {Figures} from './figures.js';
--- a/src/measure/measure_buying.ts
+++ b/src/measure/measure_buying.ts
@@ -8,27 +8,34 @@
 import {LogMembers} from '../log/index.js';
 import {SeededRandom} from '../random/index.js';
 
-const CENTRES = 4;
-const CAPACITY = 16;
-const HOURS = 24 * 7;
+const DATA_CENTRE_COUNT = 4;
+const HOST_CAPACITY = 16;
+const WEEK_HOURS = 24 * 7;
 const ON_DEMAND_PRICE = 1;
 const RECLAIM_COST = 0.05;
-const START_MS = 3_600_000;
+const HOUR_MS = 3_600_000;
 
-/** What a week of buying came to. */
-interface Week {
+/** Results of a simulated week of provisioning. */
+interface WeekFigures {
   cost: number;
   hours: number;
-  /** Hours in which the capacity for the target stood. */
-  inTarget: number;
-  /** Hours in which it would stand if the worst data centre went. */
-  floorHeld: number;
+  /**
+   * Hours in which, after reclaims, at most two hosts' capacity was missing; the
+   * first hour, which starts without hosts, always counts.
+   */
+  hoursOnTarget: number;
+  /**
+   * Hours in which the floor would be met without the reclaimable hosts of the
+   * data centre that has most of them.
+   */
+  hoursAboveFloor: number;
 }
 
 /**
- * Buys for a week of prices that move, reclaims and refused starts, and for
- * the same need on demand.
- * @returns A line per situation.
+ * Simulates a week of provisioning with reclaims and refused host starts, with
+ * constant and with changing prices, and compares its cost with that of on-demand
+ * hosts of the same capacity.
+ * @returns One line per user group and price situation.
  */
 export function measureBuying(): LogMembers[] {
   const lines: LogMembers[] = [];
@@ -38,28 +45,34 @@
   ] as const) {
     for (const change of [false, true]) {
       const ours = simulateWeek(demand, change);
-      const onDemand = (demand.capacity / CAPACITY) * HOURS * ON_DEMAND_PRICE;
+      const onDemand =
+        (demand.capacity / HOST_CAPACITY) * WEEK_HOURS * ON_DEMAND_PRICE;
       lines.push({
         experiment: change ? 'buying-price-change' : 'buying',
         users,
         policy: 'sedgefall',
         cost_to_on_demand: (ours.cost / onDemand).toFixed(3),
-        capacity_held: (ours.inTarget / ours.hours).toFixed(3),
-        floor_held: (ours.floorHeld / ours.hours).toFixed(3),
+        capacity_held: (ours.hoursOnTarget / ours.hours).toFixed(3),
+        floor_held: (ours.hoursAboveFloor / ours.hours).toFixed(3),
       });
     }
   }
   return lines;
 }
 
-function simulateWeek(demand: Demand, pricesChange: boolean): Week {
+function simulateWeek(demand: Demand, pricesChange: boolean): WeekFigures {
   const random = new SeededRandom(7);
-  const week: Week = {cost: 0, hours: 0, inTarget: 0, floorHeld: 0};
+  const week: WeekFigures = {
+    cost: 0,
+    hours: 0,
+    hoursOnTarget: 0,
+    hoursAboveFloor: 0,
+  };
   let holdings: Holding[] = [];
-  for (let hour = 0; hour < HOURS; hour++) {
-    const nowMs = hour * START_MS;
+  for (let hour = 0; hour < WEEK_HOURS; hour++) {
+    const nowMs = hour * HOUR_MS;
     const offers = createOffers(hour, pricesChange);
-    // Hosts are reclaimed by chance, now and then a whole data centre's.
+    // Hosts are reclaimed at random; every 60 hours a whole data centre's are.
     holdings = holdings.filter(holding => {
       if (!holding.reclaimable) {
         return true;
@@ -68,51 +81,62 @@
       return random.next() > (offer?.reclaimsPerHour ?? 0);
     });
     if (hour % 60 === 59) {
-      const lost = `centre-${Math.floor(random.next() * CENTRES)}`;
+      const lostDataCentre = `centre-${Math.floor(random.next() * DATA_CENTRE_COUNT)}`;
       holdings = holdings.filter(
-        holding => !holding.reclaimable || holding.dataCentre !== lost,
+        holding =>
+          !holding.reclaimable || holding.dataCentre !== lostDataCentre,
       );
     }
     week.hours++;
-    const before = sumCapacity(holdings);
-    const refused = hour % 24 === 5 ? 0 : -1;
-    const open = offers.map((offer, index) =>
-      index === refused ? {...offer, refusedUntilMs: nowMs + START_MS} : offer,
+    const capacityBefore = sumCapacity(holdings);
+    const refusedIndex = hour % 24 === 5 ? 0 : -1;
+    const availableOffers = offers.map((offer, index) =>
+      index === refusedIndex
+        ? {...offer, refusedUntilMs: nowMs + HOUR_MS}
+        : offer,
     );
-    for (const purchase of decideBuying(demand, open, holdings, nowMs)) {
-      holdings.push({...purchase, count: 1});
+    for (const hostOrder of decideBuying(
+      demand,
+      availableOffers,
+      holdings,
+      nowMs,
+    )) {
+      holdings.push({...hostOrder, count: 1});
     }
-    holdings = release(holdings, demand);
+    holdings = releaseSurplus(holdings, demand);
     week.cost += holdings.reduce(
       (sum, holding) => sum + getPrice(holding, offers, demand),
       0,
     );
-    // What was lost in the hour is missing until its replacement has started.
-    const missing = Math.max(0, demand.capacity - before) > CAPACITY * 2;
-    week.inTarget += hour > 0 && missing ? 0 : 1;
-    week.floorHeld += holdsFloor(holdings, demand) ? 1 : 0;
+    // Lost capacity is missing until its replacement has started, so the hour is
+    // evaluated with the capacity before the new orders.
+    const isShort =
+      Math.max(0, demand.capacity - capacityBefore) > HOST_CAPACITY * 2;
+    week.hoursOnTarget += hour > 0 && isShort ? 0 : 1;
+    week.hoursAboveFloor += holdsFloor(holdings, demand) ? 1 : 0;
   }
   return week;
 }
 
 function createOffers(hour: number, pricesChange: boolean): Offer[] {
-  return Array.from({length: CENTRES}, (_unused, centre) => {
-    const dear = pricesChange && Math.floor(hour / 24) % CENTRES === centre;
+  return Array.from({length: DATA_CENTRE_COUNT}, (_unused, centre) => {
+    const isExpensive =
+      pricesChange && Math.floor(hour / 24) % DATA_CENTRE_COUNT === centre;
     return {
       zone: `zone-${centre}`,
       dataCentre: `centre-${centre}`,
       machineClass: 'standard',
-      reclaimablePrice: (0.28 + centre * 0.02) * (dear ? 2.5 : 1),
+      reclaimablePrice: (0.28 + centre * 0.02) * (isExpensive ? 2.5 : 1),
       onDemandPrice: ON_DEMAND_PRICE,
       reclaimsPerHour: 0.02 + centre * 0.005,
-      capacity: CAPACITY,
+      capacity: HOST_CAPACITY,
       refusedUntilMs: 0,
     };
   });
 }
 
-/** Gives back what is over, on demand first. */
-function release(holdings: Holding[], demand: Demand): Holding[] {
+/** Releases on-demand hosts that neither the capacity nor the floor requires. */
+function releaseSurplus(holdings: Holding[], demand: Demand): Holding[] {
   const kept = [...holdings];
   for (const holding of holdings.filter(other => !other.reclaimable)) {
     const without = kept.filter(other => other !== holding);
@@ -129,7 +153,7 @@
   for (const holding of holdings) {
     if (holding.reclaimable) {
       const sum = byCentre.get(holding.dataCentre) ?? 0;
-      byCentre.set(holding.dataCentre, sum + CAPACITY);
+      byCentre.set(holding.dataCentre, sum + HOST_CAPACITY);
     }
   }
   const worst = Math.max(0, ...byCentre.values());
@@ -138,7 +162,7 @@
 }
 
 function sumCapacity(holdings: readonly Holding[]): number {
-  return holdings.length * CAPACITY;
+  return holdings.length * HOST_CAPACITY;
 }
 
 function getPrice(
--- a/src/measure/measure_recording.ts
+++ b/src/measure/measure_recording.ts
@@ -19,12 +19,12 @@
 import {VirtualClock} from '../time/index.js';
 import {getPercentile} from './figures.js';
 
-const TABLE_MS = 8;
+const TABLE_LATENCY_MS = 8;
 const DURATION_MS = 10_000;
 const WRITES_PER_SECOND = 25;
 const SERVICE_MS = 5;
 
-/** A table that takes its time and counts its writes. */
+/** A table with a fixed latency that counts its writes. */
 class TimedTable implements TableService {
   writes = 0;
   private readonly table = new MemoryTableService();
@@ -32,12 +32,12 @@
   constructor(private readonly clock: VirtualClock) {}
 
   async get(key: string) {
-    await this.clock.sleep(TABLE_MS);
+    await this.clock.sleep(TABLE_LATENCY_MS);
     return this.table.get(key);
   }
 
   async list(prefix: string) {
-    await this.clock.sleep(TABLE_MS);
+    await this.clock.sleep(TABLE_LATENCY_MS);
     return this.table.list(prefix);
   }
 
@@ -45,25 +45,26 @@
     steps: readonly Step[],
   ): Promise<Result<Commit, TableFailure>> {
     this.writes++;
-    await this.clock.sleep(TABLE_MS);
+    await this.clock.sleep(TABLE_LATENCY_MS);
     return this.table.transact(steps);
   }
 }
 
-/** Records one booking before dispatch and its outcome after. */
-type Record = (key: string) => Promise<void>;
+/** Records one booking and its outcome; resolves when the caller can be answered. */
+type RecordBooking = (key: string) => Promise<void>;
 
 /**
- * Compares the ways to record a booking: a row per request, the journal of a
- * slot, and keys minted by the host that runs them. One host, four slots.
- * @returns A line per way and rate.
+ * Compares three ways to record a booking: a row per request, the journal of a
+ * slot, and keys minted by the host that runs the booking. Uses one host and
+ * four slots.
+ * @returns One line per way and rate.
  */
 export async function measureRecording(): Promise<LogMembers[]> {
   const lines: LogMembers[] = [];
   for (const rate of [5, 50, 500]) {
     lines.push(await measure('row-per-request', rate, recordInRows));
     lines.push(await measure('slot-journal', rate, recordInJournals));
-    lines.push(await measure('minted-key', rate, recordAfterwards));
+    lines.push(await measure('minted-key', rate, recordMintedKeys));
   }
   return lines;
 }
@@ -71,17 +72,17 @@
 async function measure(
   policy: string,
   rate: number,
-  create: (table: TimedTable, clock: VirtualClock) => Record,
+  createRecorder: (table: TimedTable, clock: VirtualClock) => RecordBooking,
 ): Promise<LogMembers> {
   const clock = new VirtualClock();
   const table = new TimedTable(clock);
   const random = new SeededRandom(3);
-  const record = create(table, clock);
-  const added: number[] = [];
+  const record = createRecorder(table, clock);
+  const addedMs: number[] = [];
   const send = async (key: string) => {
     const startMs = clock.monotonicMs();
     await record(key);
-    added.push(clock.monotonicMs() - startMs - SERVICE_MS);
+    addedMs.push(clock.monotonicMs() - startMs - SERVICE_MS);
   };
   const sending = (async () => {
     for (let call = 0; clock.monotonicMs() < DURATION_MS; call++) {
@@ -95,14 +96,14 @@
     experiment: 'recording',
     policy,
     bookings_per_s: rate,
-    writes_per_booking: (table.writes / added.length).toFixed(2),
-    added_p50_ms: Math.round(getPercentile(added, 0.5)),
-    added_p99_ms: Math.round(getPercentile(added, 0.99)),
+    writes_per_booking: (table.writes / addedMs.length).toFixed(2),
+    added_p50_ms: Math.round(getPercentile(addedMs, 0.5)),
+    added_p99_ms: Math.round(getPercentile(addedMs, 0.99)),
   };
 }
 
-/** Two conditional writes a booking, within the same budget of writes. */
-function recordInRows(table: TimedTable, clock: VirtualClock): Record {
+/** Makes two table writes per booking, within the write budget of the journals. */
+function recordInRows(table: TimedTable, clock: VirtualClock): RecordBooking {
   const budget = new CommitBudget(() => WRITES_PER_SECOND, clock);
   const write = async (key: string, ifVersion?: number) => {
     await budget.spend();
@@ -122,7 +123,11 @@
   };
 }
 
-function recordInJournals(table: TimedTable, clock: VirtualClock): Record {
+/** Appends the dispatch to a slot's journal before the call, and the outcome after it. */
+function recordInJournals(
+  table: TimedTable,
+  clock: VirtualClock,
+): RecordBooking {
   const journals = createJournals(table, clock);
   let next = 0;
   return async key => {
@@ -134,7 +139,11 @@
   };
 }
 
-function recordAfterwards(table: TimedTable, clock: VirtualClock): Record {
+/** Adds only the outcome to a journal, after the call. */
+function recordMintedKeys(
+  table: TimedTable,
+  clock: VirtualClock,
+): RecordBooking {
   const journal = createJournals(table, clock)[0];
   return async key => {
     await clock.sleep(SERVICE_MS);
--- a/src/measure/measure_reuse.ts
+++ b/src/measure/measure_reuse.ts
@@ -13,55 +13,56 @@
 import {EmulatedServer, SERVER_TRAITS} from './emulated_server.js';
 import {DrawnPrompt, PromptWorkload} from './prompt_workload.js';
 
-/** What hosts do so that shared parts are computed once. */
+/** Measures by which hosts avoid computing shared prompt parts more than once. */
 interface ReusePolicy {
   readonly name: string;
-  /** Whether a request waits where that saves prefill. */
+  /** Whether a request may wait for a server that saves prefill. */
   readonly usesSlack: boolean;
-  /** Whether hosts tell each other the parts they sent. */
-  readonly tellsParts: boolean;
-  /** Whether what a peer told of its prompts ages. */
+  /** Whether hosts report to each other which parts they sent to which server. */
+  readonly reportsParts: boolean;
+  /** Whether loads reported by peers are discounted by their age. */
   readonly agesLoads: boolean;
 }
 
 const POLICIES: readonly ReusePolicy[] = [
-  {name: 'sedgefall', usesSlack: true, tellsParts: true, agesLoads: true},
-  {name: 'no-slack', usesSlack: false, tellsParts: true, agesLoads: true},
-  {name: 'parts-untold', usesSlack: true, tellsParts: false, agesLoads: true},
-  {name: 'loads-unaged', usesSlack: true, tellsParts: true, agesLoads: false},
-  {name: 'none', usesSlack: false, tellsParts: false, agesLoads: false},
+  {name: 'sedgefall', usesSlack: true, reportsParts: true, agesLoads: true},
+  {name: 'no-slack', usesSlack: false, reportsParts: true, agesLoads: true},
+  {name: 'parts-untold', usesSlack: true, reportsParts: false, agesLoads: true},
+  {name: 'loads-unaged', usesSlack: true, reportsParts: true, agesLoads: false},
+  {name: 'none', usesSlack: false, reportsParts: false, agesLoads: false},
 ];
 
 const SERVICE = 'desk';
-const HOSTS = 7;
-const SERVERS = 12;
-const HEARTBEAT_MS = 400;
-/** As `RelayRun` uses of a route's target. */
+const HOST_COUNT = 7;
+const SERVER_COUNT = 12;
+const HEARTBEAT_INTERVAL_MS = 400;
+/** Share of the target that a request may spend to save prefill, as in the relay. */
 const SLACK_SHARE = 0.4;
 const MS_PER_SECOND = 1000;
 
-/** One run: what callers and servers saw. */
+/** Results of one run, as observed by callers and servers. */
 interface ReuseFigures {
   requests: number;
   inTime: number;
-  /** Tokens of shared parts computed though some server had computed them. */
-  againTokens: number;
+  /** Tokens of shared parts that were computed although some server had done so before. */
+  recomputedTokens: number;
   computedTokens: number;
   readonly firstTokenMs: number[];
 }
 
-/** An entry host of a run, with what its peers last heard of it. */
+/** An entry host of a run, with the loads it last reported to its peers. */
 interface ReuseHost {
   readonly fleet: Fleet;
-  told: readonly HostLoad[];
-  toldMs: number;
+  reportedLoads: readonly HostLoad[];
+  reportedMs: number;
 }
 
 /**
- * Measures how often shared parts of prompts are computed, by policy, on emulated
- * servers; seeds are paired.
+ * Measures for each policy how often shared parts of prompts are computed, on
+ * emulated servers and with the same seeds for every policy.
  * @param durationMs - Length of a run, in virtual milliseconds.
  * @param seeds - Seeds of the runs.
+ * @returns One line per load factor and policy.
  */
 export async function measureReuse(
   durationMs: number,
@@ -72,7 +73,9 @@
     for (const policy of POLICIES) {
       const runs: ReuseFigures[] = [];
       for (const seed of seeds) {
-        runs.push(await new ReuseWorld(policy, seed, factor).run(durationMs));
+        runs.push(
+          await new ReuseSimulation(policy, seed, factor).run(durationMs),
+        );
       }
       lines.push(formatRuns(policy, factor, runs));
     }
@@ -99,26 +102,26 @@
     seeds: runs.length,
     requests,
     in_time: (sum(figures => figures.inTime) / requests).toFixed(3),
-    shared_again: sum(figures => figures.againTokens),
+    shared_again: sum(figures => figures.recomputedTokens),
     computed: sum(figures => figures.computedTokens),
     first_token_p50_ms: percentile(0.5),
     first_token_p95_ms: percentile(0.95),
   };
 }
 
-/** Entry hosts with the relay's own knowledge and choice, and emulated servers. */
-class ReuseWorld {
+/** Simulates entry hosts that use the relay's own server choice, and emulated servers. */
+class ReuseSimulation {
   private readonly clock = new VirtualClock();
   private readonly random: SeededRandom;
   private readonly workload: PromptWorkload;
   private readonly servers = new Map<string, EmulatedServer>();
   private readonly hosts: ReuseHost[] = [];
-  /** Shared parts that some server has computed. */
+  /** Identifiers of shared parts that some server has computed. */
   private readonly computed = new Set<string>();
   private readonly figures: ReuseFigures = {
     requests: 0,
     inTime: 0,
-    againTokens: 0,
+    recomputedTokens: 0,
     computedTokens: 0,
     firstTokenMs: [],
   };
@@ -130,11 +133,11 @@
   ) {
     this.random = new SeededRandom(seed);
     this.workload = new PromptWorkload(new SeededRandom(seed + 1), factor);
-    for (let index = 0; index < SERVERS; index++) {
+    for (let index = 0; index < SERVER_COUNT; index++) {
       const id = `server-${index}`;
       this.servers.set(id, new EmulatedServer(id, this.clock));
     }
-    for (let index = 0; index < HOSTS; index++) {
+    for (let index = 0; index < HOST_COUNT; index++) {
       this.hosts.push(this.createHost());
     }
   }
@@ -142,7 +145,7 @@
   async run(durationMs: number): Promise<ReuseFigures> {
     const stop = new AbortController();
     for (const host of this.hosts) {
-      void this.tell(host, stop.signal);
+      void this.reportToPeers(host, stop.signal);
     }
     void this.sendAll(durationMs);
     await this.clock.advance(durationMs);
@@ -153,10 +156,10 @@
   private async sendAll(durationMs: number): Promise<void> {
     const rate = this.workload.getRatePerSecond();
     while (this.clock.monotonicMs() < durationMs) {
-      // Exponential gaps: arrivals of many independent callers.
+      // Exponentially distributed gaps: a Poisson process of independent callers.
       const gap = -Math.log(1 - this.random.next());
       await this.clock.sleep((gap * MS_PER_SECOND) / rate);
-      const host = this.hosts[Math.floor(this.random.next() * HOSTS)];
+      const host = this.hosts[Math.floor(this.random.next() * HOST_COUNT)];
       if (host !== undefined) {
         void this.send(host, this.workload.draw());
       }
@@ -182,24 +185,24 @@
       return;
     }
     const startMs = this.clock.monotonicMs();
-    const flight = host.fleet.startFlight(
+    const request = host.fleet.startFlight(
       server.id,
       parts,
       decision.chosen?.firstTokenMs ?? 0,
     );
     const run = await server.prefill(parts);
     const tookMs = this.clock.monotonicMs() - startMs;
-    flight.addFirstByte(tookMs);
+    request.addFirstByte(tookMs);
     this.figures.requests++;
     this.figures.inTime += tookMs <= kind.targetMs ? 1 : 0;
-    this.figures.againTokens += this.countAgain(run.sharedParts);
+    this.figures.recomputedTokens += this.countRecomputed(run.sharedParts);
     this.figures.computedTokens += run.computedTokens;
     this.figures.firstTokenMs.push(tookMs);
     await server.decode(kind.answerTokens);
-    flight.finish(FlightEnd.SUCCEEDED);
+    request.finish(FlightEnd.SUCCEEDED);
   }
 
-  private countAgain(parts: readonly PromptPart[]): number {
+  private countRecomputed(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
       tokens += this.computed.has(part.id) ? part.tokens : 0;
@@ -208,19 +211,22 @@
     return tokens;
   }
 
-  /** Tells the other hosts once a heartbeat, each at its own moment. */
-  private async tell(host: ReuseHost, signal: AbortSignal): Promise<void> {
-    await this.clock.sleep(this.random.next() * HEARTBEAT_MS, signal);
+  /** Reports to the other hosts once per heartbeat, with a random initial offset. */
+  private async reportToPeers(
+    host: ReuseHost,
+    signal: AbortSignal,
+  ): Promise<void> {
+    await this.clock.sleep(this.random.next() * HEARTBEAT_INTERVAL_MS, signal);
     while (!signal.aborted) {
-      host.told = host.fleet.listOwnLoads();
-      host.toldMs = this.clock.monotonicMs();
+      host.reportedLoads = host.fleet.listOwnLoads();
+      host.reportedMs = this.clock.monotonicMs();
       const sent: SentPart[] = host.fleet.listSentParts();
       for (const other of this.hosts) {
-        if (other !== host && this.policy.tellsParts) {
+        if (other !== host && this.policy.reportsParts) {
           other.fleet.addPeerParts(sent);
         }
       }
-      await this.clock.sleep(HEARTBEAT_MS, signal);
+      await this.clock.sleep(HEARTBEAT_INTERVAL_MS, signal);
     }
   }
 
@@ -234,8 +240,8 @@
         listPeerLoads: server =>
           this.listPeerLoads(host).filter(load => load.server === server),
       }),
-      told: [],
-      toldMs: 0,
+      reportedLoads: [],
+      reportedMs: 0,
     };
     for (const id of this.servers.keys()) {
       host.fleet.set(
@@ -260,10 +266,10 @@
     const nowMs = this.clock.monotonicMs();
     return this.hosts
       .filter(other => other !== host)
-      .flatMap(({told, toldMs}) =>
-        told.map(load => ({
+      .flatMap(({reportedLoads, reportedMs}) =>
+        reportedLoads.map(load => ({
           ...load,
-          ageMs: this.policy.agesLoads ? nowMs - toldMs : 0,
+          ageMs: this.policy.agesLoads ? nowMs - reportedMs : 0,
         })),
       );
   }
--- a/src/measure/measured_world.ts
+++ b/src/measure/policy_simulation.ts
@@ -19,9 +19,9 @@
 import {VirtualClock} from '../time/index.js';
 import {Figures, FigureCollector} from './figures.js';
 import {Workload, WorkloadRequest} from './workload.js';
-import {WorldEvent, WorldPlan} from './world_plan.js';
+import {SimulationEvent, SimulationPlan} from './simulation_plan.js';
 
-/** Assumptions that docs/MEASUREMENTS.md states. */
+/** Assumptions of the simulation, documented in docs/MEASUREMENTS.md. */
 export const ASSUMPTIONS = {
   capacity: 16,
   prefillRate: 12_000,
@@ -30,12 +30,12 @@
   hostsPerCentre: 2,
   pollMs: 500,
   deadlineMs: 30_000,
-  /** Refused callers that come back once at the time they were told. */
-  returnShare: 0.5,
+  /** Share of refused callers that retry once, at the time given in the refusal. */
+  retryShare: 0.5,
 } as const;
 
 /** One entry host of a run. */
-interface MeasuredHost {
+interface SimulatedHost {
   readonly directory: ServerDirectory;
   readonly runner: GenerationRunner;
   readonly admission: GenerationAdmission;
@@ -43,27 +43,27 @@
   readonly watch: ReclaimWatch;
 }
 
-/** An engine that can slow down and die. */
-class MeasuredEngine extends FakeEngine {
+/** A fake engine that can be slowed down or killed. */
+class SimulatedEngine extends FakeEngine {
   readonly killed = new AbortController();
 }
 
 /**
- * Entry hosts that run the daemon's own decisions over fake engines, on a
- * virtual clock. Not a simulator of a cluster: no messages, no processes.
+ * Simulates entry hosts that run the daemon's own decisions over fake engines, on
+ * a virtual clock. It does not simulate a cluster: no messages, no processes.
  */
-export class MeasuredWorld {
+export class PolicySimulation {
   private readonly clock = new VirtualClock();
   private readonly random: SeededRandom;
-  private readonly engines: MeasuredEngine[] = [];
-  private readonly hosts: MeasuredHost[] = [];
+  private readonly engines: SimulatedEngine[] = [];
+  private readonly hosts: SimulatedHost[] = [];
   private readonly collector: FigureCollector;
   private readonly workload: Workload;
-  private readonly noticeEnds = new Map<string, number>();
+  private readonly reclaimDeadlines = new Map<string, number>();
   private readonly configuration: ConfigurationStore;
   private requests = 0;
 
-  constructor(private readonly plan: WorldPlan) {
+  constructor(private readonly plan: SimulationPlan) {
     this.random = new SeededRandom(plan.seed);
     this.workload = new Workload(plan.profile, this.random);
     this.collector = new FigureCollector();
@@ -78,17 +78,17 @@
     });
   }
 
-  /** Runs the plan; returns what callers saw. */
+  /** Runs the plan; returns the results that callers observed. */
   async run(): Promise<Figures> {
     const stop = new AbortController();
     void this.pollLoads(stop.signal);
     for (const host of this.hosts) {
-      if (this.plan.movesOnNotice) {
+      if (this.plan.migratesOnNotice) {
         void host.watch.run(stop.signal);
       }
     }
     for (const event of this.plan.events) {
-      void this.clock.sleep(event.atMs).then(() => this.happen(event));
+      void this.clock.sleep(event.atMs).then(() => this.applyEvent(event));
     }
     await this.clock.advance(ASSUMPTIONS.pollMs + 1);
     void this.sendAll();
@@ -110,7 +110,7 @@
         rateAfter !== undefined && elapsedMs >= rateAfter.atMs
           ? rateAfter.ratePerSecond
           : ratePerSecond;
-      // Exponential gaps: arrivals of many independent callers.
+      // Exponentially distributed gaps: a Poisson process of independent callers.
       const gapMs = (-Math.log(1 - this.random.next()) * 1000) / rate;
       await this.clock.sleep(gapMs);
       const customer = this.workload.drawCustomer();
@@ -118,10 +118,7 @@
     }
   }
 
-  private async send(
-    drawn: WorkloadRequest,
-    mayReturn: boolean,
-  ): Promise<void> {
+  private async send(drawn: WorkloadRequest, mayRetry: boolean): Promise<void> {
     const host = this.hosts[Math.floor(this.random.next() * this.hosts.length)];
     const view = this.configuration.getView();
     const deployment = view.deployments.get('dossier');
@@ -130,13 +127,13 @@
     }
     const startMs = this.clock.monotonicMs();
     const generation = this.createGeneration(drawn, startMs);
-    const refusal = this.plan.admits
+    const refusal = this.plan.usesAdmissionControl
       ? host.admission.decide(view, deployment, generation)
       : undefined;
     if (refusal !== undefined) {
       this.collector.addRefusal(drawn.customer, startMs);
-      const returns = this.random.next() < ASSUMPTIONS.returnShare;
-      if (mayReturn && returns) {
+      const retries = this.random.next() < ASSUMPTIONS.retryShare;
+      if (mayRetry && retries) {
         await this.clock.sleep((refusal.retryAfterSeconds ?? 1) * 1000);
         await this.send(drawn, false);
       }
@@ -144,7 +141,12 @@
     }
     const release = host.usage.add(drawn.customer);
     const run = host.runner.run(generation, new AbortController().signal);
-    await this.collector.follow(generation, startMs, deployment, this.clock);
+    await this.collector.measureGeneration(
+      generation,
+      startMs,
+      deployment,
+      this.clock,
+    );
     await run;
     release();
   }
@@ -170,7 +172,7 @@
     );
   }
 
-  private happen(event: WorldEvent): void {
+  private applyEvent(event: SimulationEvent): void {
     if (event.kind === 'slow') {
       const engine = this.engines[event.server];
       if (engine !== undefined) {
@@ -186,14 +188,14 @@
       const {name} = engine.options;
       if (name.startsWith(`server-${event.dataCentre}-`)) {
         const endMs = this.clock.monotonicMs() + event.noticeMs;
-        this.noticeEnds.set(name, endMs);
+        this.reclaimDeadlines.set(name, endMs);
         void this.clock.sleep(event.noticeMs).then(() => engine.killed.abort());
       }
     }
   }
 
   private async flood(
-    event: Extract<WorldEvent, {readonly kind: 'flood'}>,
+    event: Extract<SimulationEvent, {readonly kind: 'flood'}>,
   ): Promise<void> {
     const endMs = this.clock.monotonicMs() + event.forMs;
     while (this.clock.monotonicMs() < endMs) {
@@ -202,7 +204,7 @@
     }
   }
 
-  /** Every host hears every load, half a poll old on average. */
+  /** Passes every engine's load to every host, half a poll interval old on average. */
   private async pollLoads(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       for (const engine of this.engines) {
@@ -224,13 +226,13 @@
     }
   }
 
-  private createHost(dataCentre: string): MeasuredHost {
+  private createHost(dataCentre: string): SimulatedHost {
     const log = new SilentLog();
     const directory = new ServerDirectory(
       {
         createEngine: server => this.wrapEngine(server.name),
         createService: () => {
-          throw new Error('there are only engines here');
+          throw new Error('the simulation has no service servers');
         },
       },
       this.clock,
@@ -253,7 +255,7 @@
       lengths,
       chooseServer: this.plan.chooseServer(),
       checkToken,
-      isLeaving: server => this.noticeEnds.has(server),
+      isLeaving: server => this.reclaimDeadlines.has(server),
       firstTokenSilenceMs: ASSUMPTIONS.deadlineMs,
       silenceMs: 2000,
     });
@@ -275,7 +277,7 @@
       lengths,
       runner,
       getRemainingMs: server => {
-        const endMs = this.noticeEnds.get(server);
+        const endMs = this.reclaimDeadlines.get(server);
         return endMs === undefined
           ? undefined
           : endMs - this.clock.monotonicMs();
@@ -294,26 +296,26 @@
 
   private countAlive(): number {
     return this.engines.filter(
-      engine => !this.noticeEnds.has(engine.options.name),
+      engine => !this.reclaimDeadlines.has(engine.options.name),
     ).length;
   }
 
-  /** The engine as a host sees it: a killed one breaks its streams. */
+  /** Wraps an engine so that its streams are aborted once it is killed. */
   private wrapEngine(name: string) {
     const engine = this.engines.find(other => other.options.name === name);
     if (engine === undefined) {
-      throw new Error(`there is no engine ${name}`);
+      throw new Error(`no engine named ${name}`);
     }
     const {signal: killed} = engine.killed;
     const generate = engine.generate.bind(engine);
-    return Object.assign(Object.create(engine) as MeasuredEngine, {
+    return Object.assign(Object.create(engine) as SimulatedEngine, {
       generate: (...[order, signal]: Parameters<FakeEngine['generate']>) =>
         generate(order, AbortSignal.any([signal, killed])),
     });
   }
 
-  private createEngine(name: string): MeasuredEngine {
-    return new MeasuredEngine(
+  private createEngine(name: string): SimulatedEngine {
+    return new SimulatedEngine(
       {
         name,
         capacity: ASSUMPTIONS.capacity,
--- a/src/measure/prompt_workload.ts
+++ b/src/measure/prompt_workload.ts
@@ -1,33 +1,35 @@
 import {PromptPart} from '../fleet/index.js';
 import {Random} from '../random/index.js';
 
-/** One kind of prompt that users send, as their sheets describe it. */
+/** One kind of prompt, from the users' deployment descriptions. */
 export interface PromptKind {
   readonly name: string;
+  /** Rate of requests per second. */
   readonly perSecond: number;
-  /** Time to the first token within which an answer is in time, in ms. */
+  /** Target for the time to the first token, in milliseconds. */
   readonly targetMs: number;
-  /** Different first parts, such as instructions, and their tokens. */
+  /** Number of different first parts, such as instructions, and tokens of each. */
   readonly openings: number;
   readonly openingTokens: number;
-  /** Different subjects that requests share, and their mean tokens. */
+  /** Number of different subjects that requests share, and their mean tokens. */
   readonly subjects: number;
   readonly subjectTokens: number;
-  /** Mean tokens of what is a request's own. */
+  /** Mean tokens of the part that a request shares with no other. */
   readonly ownTokens: number;
   readonly answerTokens: number;
 }
 
-/** A prompt as it is sent. */
+/** A randomly drawn prompt, ready to be sent. */
 export interface DrawnPrompt {
   readonly kind: PromptKind;
   readonly parts: readonly PromptPart[];
 }
 
 /**
- * The three kinds of both deployments: rates, targets, shared and own tokens from
- * the users' sheets at seven tenths of their traffic; numbers of openings and
- * subjects as one calm day of 64 s showed them.
+ * The three kinds of prompts of both deployments. Rates, targets and numbers of
+ * shared and own tokens are from the users' deployment descriptions, at 70% of
+ * their traffic. The numbers of openings and subjects were observed in one
+ * simulated run of 64 s without faults.
  */
 export const PROMPT_KINDS: readonly PromptKind[] = [
   {
@@ -65,21 +67,21 @@
   },
 ];
 
-/** Shortest and longest prompt against the mean of its kind. */
+/** Smallest and largest size of a prompt part, relative to its mean. */
 const MIN_SIZE = 0.3;
 const MAX_SIZE = 3;
 
-/** Draws prompts, repeatably. */
+/** Draws random prompts; the sequence depends only on the random source. */
 export class PromptWorkload {
   private drawn = 0;
 
   constructor(
     private readonly random: Random,
-    /** Times the sheets' rate. */
+    /** Factor by which the rates of `PROMPT_KINDS` are multiplied. */
     private readonly factor: number,
   ) {}
 
-  /** Returns all requests a second. */
+  /** Returns the total rate of all kinds, in requests per second. */
   getRatePerSecond(): number {
     const sum = PROMPT_KINDS.reduce((all, kind) => all + kind.perSecond, 0);
     return sum * this.factor;
@@ -90,7 +92,7 @@
     const kind = this.drawKind();
     const opening = this.drawRank(kind.openings);
     const subject = this.drawRank(kind.subjects);
-    // A subject has one size, whoever asks for it.
+    // A subject has the same size in every request.
     const size = MIN_SIZE + (subject % 10) * ((2 * (1 - MIN_SIZE)) / 9);
     const {name} = kind;
     return {
@@ -118,7 +120,7 @@
     return PROMPT_KINDS[0] as PromptKind;
   }
 
-  /** Draws one of several, the first ones more often (a power law). */
+  /** Draws a rank below `count`; lower ranks are more frequent (power law). */
   private drawRank(count: number): number {
     return Math.floor(count ** this.random.next()) - 1;
   }
--- a/src/measure/world_plan.ts
+++ b/src/measure/simulation_plan.ts
@@ -1,10 +1,10 @@
 import {ChooseServer} from '../routing/index.js';
 import {Profile} from './workload.js';
 
-/** Something that happens to the system during a run. */
-export type WorldEvent =
+/** A disturbance during a run; `atMs` is its virtual time. */
+export type SimulationEvent =
   | {
-      /** The platform takes back the servers of a data centre. */
+      /** The platform reclaims all servers of a data centre. */
       readonly kind: 'reclaim';
       readonly atMs: number;
       readonly dataCentre: number;
@@ -18,7 +18,7 @@
       readonly factor: number;
     }
   | {
-      /** One customer sends more, for a while. */
+      /** One customer sends additional requests for `forMs`. */
       readonly kind: 'flood';
       readonly atMs: number;
       readonly forMs: number;
@@ -26,19 +26,20 @@
       readonly ratePerSecond: number;
     };
 
-/** What a run consists of. */
-export interface WorldPlan {
+/** Parameters of one run. */
+export interface SimulationPlan {
   readonly profile: Profile;
   readonly seed: number;
   readonly durationMs: number;
   readonly ratePerSecond: number;
-  /** Load from this time on; absent when it stays the same. */
+  /** Request rate from a given time on; absent if the rate is constant. */
   readonly rateAfter?: {readonly atMs: number; readonly ratePerSecond: number};
   readonly chooseServer: () => ChooseServer;
-  readonly admits: boolean;
-  /** Whether running generations are moved on notice, or recomputed later. */
-  readonly movesOnNotice: boolean;
-  readonly events: readonly WorldEvent[];
+  /** Whether hosts refuse requests under overload. */
+  readonly usesAdmissionControl: boolean;
+  /** Whether running generations are migrated on a reclaim notice, or recomputed later. */
+  readonly migratesOnNotice: boolean;
+  readonly events: readonly SimulationEvent[];
   /** Model servers per data centre. */
   readonly serversPerCentre: readonly number[];
 }
--- a/src/measure/workload.ts
+++ b/src/measure/workload.ts
@@ -1,20 +1,20 @@
 import {Random} from '../random/index.js';
 
-/** What one group of users asks of its models. */
+/** Traffic profile of one group of users. */
 export interface Profile {
   readonly name: string;
-  /** Characters that all prompts of one customer begin with. */
+  /** Length of the prefix that prompts of one customer and document kind share. */
   readonly sharedCharacters: number;
-  /** Characters of a prompt's own. */
+  /** Minimum length of the rest of a prompt, which no other prompt shares. */
   readonly ownCharacters: number;
   /** Mean tokens of an answer. */
   readonly answerTokens: number;
-  /** Cost of a recomputed token, and of a second past the target. */
+  /** Cost of a recomputed token, and of a second past the latency target. */
   readonly weights: {
     readonly recomputedToken: number;
     readonly lateSecond: number;
   };
-  /** Customers, and the share of requests each sends. */
+  /** Customers, and the share of all requests that each sends. */
   readonly customers: readonly {
     readonly name: string;
     readonly share: number;
@@ -29,7 +29,7 @@
   {name: 'small-3', share: 0.08},
 ];
 
-/** Long dossiers on long shared prompts; recomputed tokens weigh most. */
+/** Long dossiers on long shared prompts; recomputed tokens have the highest weight. */
 export const GUILD: Profile = {
   name: 'guild',
   sharedCharacters: 6000,
@@ -39,7 +39,7 @@
   customers: CUSTOMERS,
 };
 
-/** Short booking answers; cost at the latency target weighs most. */
+/** Short booking answers; time past the latency target has the highest weight. */
 export const CASILLAS: Profile = {
   name: 'casillas',
   sharedCharacters: 2400,
@@ -56,10 +56,10 @@
   readonly tokens: number;
 }
 
-/** Kinds of document per customer; each has a prefix of its own. */
+/** Number of document kinds per customer; each has its own prompt prefix. */
 const PREFIXES_PER_CUSTOMER = 4;
 
-/** Draws requests of a profile, repeatably. */
+/** Draws random requests of a profile; the sequence depends only on the random source. */
 export class Workload {
   private drawn = 0;
   private readonly prefixes = new Map<string, string>();
@@ -69,7 +69,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Draws the customer of the next request by the shares. */
+  /** Draws the customer of the next request, weighted by their shares. */
   drawCustomer(): string {
     let left = this.random.next();
     for (const {name, share} of this.profile.customers) {
--- a/test/measure/emulated_server_test.ts
+++ b/test/measure/emulated_server_test.ts
@@ -5,7 +5,7 @@
 describe('EmulatedServer', () => {
   const shared = {id: 'shared', tokens: 5000};
 
-  async function prefillInTurn(count: number): Promise<EmulatedRun[]> {
+  async function prefillSequentially(count: number): Promise<EmulatedRun[]> {
     const clock = new VirtualClock();
     const server = new EmulatedServer('a', clock);
     const runs: EmulatedRun[] = [];
@@ -17,15 +17,15 @@
     return runs;
   }
 
-  it('computes a shared part once', async () => {
-    const [first, second] = await prefillInTurn(2);
+  it('computes a shared prompt part only once', async () => {
+    const [first, second] = await prefillSequentially(2);
     expect(first?.sharedParts).to.deep.equal([shared]);
     expect(first?.computedTokens).to.equal(6000);
     expect(second?.sharedParts).to.deep.equal([]);
     expect(second?.computedTokens).to.equal(1000);
   });
 
-  it('computes prompts one after the other', async () => {
+  it('computes prompts sequentially', async () => {
     const clock = new VirtualClock();
     const server = new EmulatedServer('a', clock);
     const endsMs: number[] = [];
