--- a/src/measure/measure_recording.ts
+++ b/src/measure/measure_recording.ts
@@ -62,14 +62,14 @@
 export async function measureRecording(): Promise<LogMembers[]> {
   const lines: LogMembers[] = [];
   for (const rate of [5, 50, 500]) {
-    lines.push(await measure('row-per-request', rate, recordInRows));
-    lines.push(await measure('slot-journal', rate, recordInJournals));
-    lines.push(await measure('minted-key', rate, recordMintedKeys));
+    lines.push(await measurePolicy('row-per-request', rate, recordInRows));
+    lines.push(await measurePolicy('slot-journal', rate, recordInJournals));
+    lines.push(await measurePolicy('minted-key', rate, recordMintedKeys));
   }
   return lines;
 }
 
-async function measure(
+async function measurePolicy(
   policy: string,
   rate: number,
   createRecorder: (table: TimedTable, clock: VirtualClock) => RecordBooking,
--- a/src/prove/call_proofs.ts
+++ b/src/prove/call_proofs.ts
@@ -18,7 +18,7 @@
 import {Proof, RunReport} from './proof.js';
 
 /** Returns the violations of a promise in a history, one text each. */
-type Check = (history: History) => string[];
+type FindViolations = (history: History) => string[];
 
 /** A call that must not be repeated runs at most once. */
 export const atMostOnce = createProof(
@@ -71,7 +71,7 @@
   variantText: string,
   variant: CallVariant,
   schedules: fc.Arbitrary<CallSchedule>,
-  check: Check,
+  findViolations: FindViolations,
   usesBalancer = false,
 ): Proof<CallSchedule> {
   return {
@@ -83,15 +83,18 @@
         broken ? variant : {},
         usesBalancer,
       );
-      return report(await simulation.run(schedule), check);
+      return createReport(await simulation.run(schedule), findViolations);
     },
   };
 }
 
-function report(history: History, check: Check): RunReport {
+function createReport(
+  history: History,
+  findViolations: FindViolations,
+): RunReport {
   const operations = history.events.filter(event => event.kind === 'asked');
   return {
-    violations: check(history),
+    violations: findViolations(history),
     operations: operations.length,
     faults: history.faults,
     answered:
--- a/src/prove/call_simulation.ts
+++ b/src/prove/call_simulation.ts
@@ -311,14 +311,14 @@
     const reply = deliver().then(value =>
       Result.ok<unknown, PeerFailure>(value),
     );
-    const lost = this.clock
+    const timedOut = this.clock
       .sleep(timeoutMs)
       .then(() =>
         Result.err<unknown, PeerFailure>(
           new PeerFailure(PeerFailureKind.SENT, 'no reply'),
         ),
       );
-    return Promise.race([reply, lost]);
+    return Promise.race([reply, timedOut]);
   }
 
   private getHost(index: number): SimulatedHost {
--- a/src/prove/configuration_simulation.ts
+++ b/src/prove/configuration_simulation.ts
@@ -205,7 +205,7 @@
   private checkConverged(): void {
     const highest = Math.max(...this.hosts.map(host => host.highestRevision));
     for (const host of this.hosts) {
-      if (host.gate.isOpen() && host.store.getRevision() < highest) {
+      if (host.gate.isRunning() && host.store.getRevision() < highest) {
         this.violations.push(
           `${host.name} is still at revision ${host.store.getRevision()} instead of ${highest}`,
         );
@@ -213,7 +213,7 @@
     }
     const contents = new Set(
       this.hosts
-        .filter(host => host.gate.isOpen())
+        .filter(host => host.gate.isRunning())
         .map(host => JSON.stringify(sortRecords(host.store))),
     );
     if (contents.size > 1) {
@@ -344,7 +344,7 @@
   }
 
   private isConnected(a: SimulatedHost, b: SimulatedHost): boolean {
-    return a.gate.isOpen() && b.gate.isOpen() && !a.cut && !b.cut;
+    return a.gate.isRunning() && b.gate.isRunning() && !a.cut && !b.cut;
   }
 
   private getHost(index: number): SimulatedHost {
--- a/src/prove/fault_rates.ts
+++ b/src/prove/fault_rates.ts
@@ -39,10 +39,10 @@
       nothing: 0,
     };
     for (const schedule of schedules) {
-      const alone = schedule.filter(
+      const reducedSchedule = schedule.filter(
         ({step}) => step.kind === 'call' || getFaultName(step) === fault,
       );
-      const history = await new CallSimulation({}, false).run(alone);
+      const history = await new CallSimulation({}, false).run(reducedSchedule);
       const asked = history.events.filter(event => event.kind === 'asked');
       rate = {
         fault,
--- a/src/prove/gate.ts
+++ b/src/prove/gate.ts
@@ -2,32 +2,32 @@
 
 /**
  * Freezes or kills a simulated host. Everything the host awaits passes through
- * its gate, so no wait returns while the gate is shut.
+ * its gate, so no wait returns while the gate blocks it.
  */
 export class Gate {
-  private shut: Promise<void> | undefined;
-  private open: () => void = () => undefined;
+  private blocked: Promise<void> | undefined;
+  private unblock: () => void = () => undefined;
   private dead = false;
 
   /** Stops the host until `thaw`. */
   freeze(): void {
-    this.shut ??= new Promise(resolve => {
-      this.open = resolve;
+    this.blocked ??= new Promise(resolve => {
+      this.unblock = resolve;
     });
   }
 
   /** Resumes a frozen host; has no effect on a killed one. */
   thaw(): void {
     if (!this.dead) {
-      this.shut = undefined;
-      this.open();
+      this.blocked = undefined;
+      this.unblock();
     }
   }
 
   /** Stops the host permanently. */
   kill(): void {
     this.dead = true;
-    this.shut = new Promise(() => undefined);
+    this.blocked = new Promise(() => undefined);
   }
 
   /** Returns whether the host was killed. */
@@ -36,22 +36,22 @@
   }
 
   /** Returns whether the host is running: neither frozen nor killed. */
-  isOpen(): boolean {
-    return this.shut === undefined;
+  isRunning(): boolean {
+    return this.blocked === undefined;
   }
 
   /** Waits until the host is running; never resolves once it was killed. */
-  async pass(): Promise<void> {
-    while (this.shut !== undefined) {
-      await this.shut;
+  async waitUntilRunning(): Promise<void> {
+    while (this.blocked !== undefined) {
+      await this.blocked;
     }
   }
 
   /** Makes an outgoing call of the host; waits for the gate before and after it. */
   async call<T>(send: () => Promise<T>): Promise<T> {
-    await this.pass();
+    await this.waitUntilRunning();
     const result = await send();
-    await this.pass();
+    await this.waitUntilRunning();
     return result;
   }
 }
@@ -73,18 +73,18 @@
 
   async sleep(ms: number, signal?: AbortSignal): Promise<void> {
     await this.clock.sleep(ms, signal);
-    await this.gate.pass();
+    await this.gate.waitUntilRunning();
   }
 
   startTimer(ms: number, call: () => void): CancelTimer {
     let isCancelled = false;
-    const callOnceOpen = async () => {
-      await this.gate.pass();
+    const callWhenRunning = async () => {
+      await this.gate.waitUntilRunning();
       if (!isCancelled) {
         call();
       }
     };
-    const cancel = this.clock.startTimer(ms, () => void callOnceOpen());
+    const cancel = this.clock.startTimer(ms, () => void callWhenRunning());
     return () => {
       isCancelled = true;
       cancel();
--- a/src/prove/simulated_host.ts
+++ b/src/prove/simulated_host.ts
@@ -19,5 +19,5 @@
 
 /** Returns whether a host is running, is not leaving and is reachable by others. */
 export function isLive({gate, leaving, cut}: SimulatedHost): boolean {
-  return gate.isOpen() && !leaving && !cut;
+  return gate.isRunning() && !leaving && !cut;
 }
--- a/src/prove/start_simulated_host.ts
+++ b/src/prove/start_simulated_host.ts
@@ -131,7 +131,7 @@
     ownsSlot: isUsedBook,
     sendBook: async (to, handover) => {
       const peer = findHost(to);
-      if (peer === undefined || !peer.gate.isOpen()) {
+      if (peer === undefined || !peer.gate.isRunning()) {
         return false;
       }
       const entries = variant.dropsEntries === true ? [] : handover.entries;
@@ -139,7 +139,7 @@
     },
     sendOutcome: async (to, book, entry) => {
       const peer = findHost(to);
-      return peer?.gate.isOpen() === true && !peer.cut
+      return peer?.gate.isRunning() === true && !peer.cut
         ? peer.bookkeeper.addLateOutcome(book, entry)
         : false;
     },
--- a/src/prove/stream_simulation.ts
+++ b/src/prove/stream_simulation.ts
@@ -121,7 +121,7 @@
     }
     await this.clock.advance(SETTLE_MS);
     stop.abort();
-    return this.report();
+    return this.createReport();
   }
 
   private execute(step: StreamStep): void {
@@ -192,7 +192,7 @@
     }
   }
 
-  private report(): RunReport {
+  private createReport(): RunReport {
     const violations: string[] = [];
     let answered = 0;
     for (const {generation, texts, outcome} of this.readers) {
