--- a/test/platform/crashing_request_test.ts
+++ b/test/platform/crashing_request_test.ts
@@ -1,95 +1,94 @@
 import {expect} from 'chai';
 import {answerWith, Script, StandInServer} from './stand_in/stand_in_server.js';
-import {KEY, RunningHost, StandInSystem} from './stand_in/stand_in_system.js';
+import {KEY, RunningHost, TestSystem} from './stand_in/stand_in_system.js';
 
 /**
- * Servers of a model service ended one after the other, forty in a minute and a half,
- * and up to half of all callers got no answer.
- *
- * One customer's request ended each server that began to run it. Its caller asked
- * again, each time with a new id and at another host, and each time a host sent it to
- * a server, and to a second one when the first was lost.
- *
- * The cause: all that a host remembered of a failure was about servers or about one
- * attempt of a caller, and none of it was told to other hosts. What proved it was one
- * content under many ids in the lines of lost runs.
+ * Guards against one customer's request that terminates each server that begins to run
+ * it. In one case, forty servers of a model service terminated within 90 seconds, and up
+ * to half of all callers got no response. The caller retried at other hosts with a new id
+ * each time, and each host sent the request to a server, and to a second one when the
+ * first was lost. Hosts recorded failures only by server or by attempt of a caller, and
+ * did not share them. The log lines of lost runs showed one content under many ids.
  */
-describe('a request that ends the servers that run it', () => {
-  const BODY = 'ends its server';
-  /** Ends after which it is known to be the cause. */
-  const ENDS = 3;
-  /** Time in which all hosts have to know it, in milliseconds. */
-  const CONTACT_MS = 3000;
-  /** Times that it may reach a server after that. */
-  const MORE = 3;
+describe('a request that terminates the servers that run it', () => {
+  const BODY = 'terminates its server';
+  /** Terminations after which the request is known to be the cause. */
+  const TERMINATIONS = 3;
+  /** Time within which all hosts must know it, in milliseconds. */
+  const PROPAGATION_MS = 3000;
+  /** Maximum number of times that it may reach a server after that. */
+  const MAX_FURTHER_RUNS = 3;
   const SERVERS = 14;
   const ROUNDS = 6;
-  let system: StandInSystem;
+  let system: TestSystem;
   let hosts: RunningHost[];
-  let ended: number;
+  let terminatedCount: number;
 
   beforeEach(async () => {
-    system = new StandInSystem();
-    ended = 0;
-    system.addServers(SERVERS, endOn);
+    system = new TestSystem();
+    terminatedCount = 0;
+    system.addServers(SERVERS, createTerminatingScript);
     await system.start();
     hosts = await system.startHosts(['front-1', 'front-2', 'front-3']);
   });
 
   afterEach(() => system.stop());
 
-  /** Ends the server, and its entry, where it gets the request. */
-  function endOn(server: StandInServer, index: number): Script {
+  /** Creates a script that terminates the server, with its entry, on the request. */
+  function createTerminatingScript(
+    server: StandInServer,
+    index: number,
+  ): Script {
     const answer = answerWith('whole');
     return (socket, request) => {
       if (request.body !== BODY) {
         answer(socket, request);
         return;
       }
-      ended++;
+      terminatedCount++;
       server.stop();
       system.store.remove('servers', `i-${index}`);
     };
   }
 
-  /** Sends it to each host in turn until that many servers have ended. */
-  async function endServers(count: number): Promise<void> {
-    for (let turn = 0; ended < count; turn++) {
-      await ask(hosts[turn % hosts.length]);
+  /** Sends it to each host in turn until that many servers have terminated. */
+  async function terminateServers(count: number): Promise<void> {
+    for (let turn = 0; terminatedCount < count; turn++) {
+      await sendRequest(hosts[turn % hosts.length]);
     }
   }
 
-  async function ask(host: RunningHost | undefined): Promise<number> {
+  async function sendRequest(host: RunningHost | undefined): Promise<number> {
     if (host === undefined) {
       throw new Error('no host');
     }
     return (await system.call(host, '/a/x', {}, BODY)).status;
   }
 
-  /** Sends it to each host several times; returns how many servers ended. */
-  async function askAllAgain(): Promise<number> {
-    const before = ended;
+  /** Sends it to each host several times; returns how many servers terminated. */
+  async function retryAtAllHosts(): Promise<number> {
+    const before = terminatedCount;
     for (let round = 0; round < ROUNDS; round++) {
       for (const host of hosts) {
-        await ask(host);
+        await sendRequest(host);
       }
     }
-    return ended - before;
+    return terminatedCount - before;
   }
 
-  function waitForWord(): Promise<void> {
-    return new Promise(resolve => setTimeout(resolve, CONTACT_MS));
+  function waitForPropagation(): Promise<void> {
+    return new Promise(resolve => setTimeout(resolve, PROPAGATION_MS));
   }
 
-  it('reaches few more once it has ended three, at whichever host', async () => {
-    await endServers(ENDS);
-    await waitForWord();
-    expect(await askAllAgain()).to.be.at.most(MORE);
+  it('reaches few more servers once it has terminated three, at whichever host', async () => {
+    await terminateServers(TERMINATIONS);
+    await waitForPropagation();
+    expect(await retryAtAllHosts()).to.be.at.most(MAX_FURTHER_RUNS);
   });
 
-  it('is refused as not run, with a time to come back, and others are not', async () => {
-    await endServers(ENDS);
-    await waitForWord();
+  it('is refused as not run, with a retry time, and other requests are not', async () => {
+    await terminateServers(TERMINATIONS);
+    await waitForPropagation();
     for (const host of hosts) {
       const refused = await system.call(host, '/a/x', {}, BODY);
       expect(refused.status).to.equal(503);
@@ -101,37 +100,37 @@
     }
   });
 
-  it('reaches few more when every host has been started anew', async () => {
-    await endServers(ENDS);
-    await waitForWord();
+  it('reaches few more servers after every host has been restarted', async () => {
+    await terminateServers(TERMINATIONS);
+    await waitForPropagation();
     await Promise.all(hosts.map(({host}) => host.stop()));
     hosts = await system.startHosts(['front-4', 'front-5', 'front-6']);
-    await waitForWord();
-    expect(await askAllAgain()).to.be.at.most(MORE);
+    await waitForPropagation();
+    expect(await retryAtAllHosts()).to.be.at.most(MAX_FURTHER_RUNS);
   });
 });
 
 /**
- * Pattern: one sender whose every request ends the server that runs it, and no two of
- * which are alike, so that no content is seen twice.
+ * Guards against a sender each of whose requests terminates the server that runs it. No
+ * two requests are alike, so that no content is seen twice.
  */
-describe('a sender of ever-new requests that end servers', () => {
+describe('a sender of distinct requests that terminate servers', () => {
   const SERVERS = 14;
   const SPAN_MS = 30_000;
   const PAUSE_MS = 100;
-  /** Servers that it may end in the span. */
-  const MOST_ENDED = 12;
-  /** Of 290 requests of others. */
-  const LEAST_SERVED_SHARE = 285 / 290;
+  /** Maximum number of servers that it may terminate in the span. */
+  const MAX_TERMINATED = 12;
+  /** Minimum share of other requests that must be served: 285 of 290. */
+  const MIN_SERVED_SHARE = 285 / 290;
   const OTHER_KEY = 'k2';
-  let system: StandInSystem;
+  let system: TestSystem;
   let hosts: RunningHost[];
-  let ended: number;
+  let terminatedCount: number;
 
   beforeEach(async () => {
-    system = new StandInSystem();
-    ended = 0;
-    system.addServers(SERVERS, endOn);
+    system = new TestSystem();
+    terminatedCount = 0;
+    system.addServers(SERVERS, createTerminatingScript);
     await system.start();
     system.putConfig({
       tenants: [
@@ -145,18 +144,21 @@
 
   afterEach(() => system.stop());
 
-  /** Ends the server for a while, as a new start each time. */
-  function endOn(server: StandInServer, index: number): Script {
+  /** Creates a script that terminates the server and starts it later under a new id. */
+  function createTerminatingScript(
+    server: StandInServer,
+    index: number,
+  ): Script {
     const answer = answerWith('whole');
-    let starts = 0;
+    let restarts = 0;
     return (socket, request) => {
-      if (!request.body.startsWith('ends its server')) {
+      if (!request.body.startsWith('terminates its server')) {
         answer(socket, request);
         return;
       }
-      ended++;
-      const id = starts === 0 ? `i-${index}` : `i-${index}-${starts}`;
-      const next = `i-${index}-${++starts}`;
+      terminatedCount++;
+      const id = restarts === 0 ? `i-${index}` : `i-${index}-${restarts}`;
+      const next = `i-${index}-${++restarts}`;
       server.stop();
       system.store.remove('servers', id);
       setTimeout(async () => {
@@ -190,29 +192,29 @@
     return {served: results.filter(Boolean).length, all: results.length};
   }
 
-  it('ends few, and neither others nor its other route are kept away', async () => {
+  it('terminates few, and neither other customers nor its other route are blocked', async () => {
     const [, others, own] = await Promise.all([
-      callInTurn('/a/x', KEY, turn => `ends its server ${turn}`),
+      callInTurn('/a/x', KEY, turn => `terminates its server ${turn}`),
       callInTurn('/a/x', OTHER_KEY, () => 'harmless'),
       callInTurn('/b/x', KEY, () => 'harmless'),
     ]);
-    expect(ended).to.be.at.most(MOST_ENDED);
+    expect(terminatedCount).to.be.at.most(MAX_TERMINATED);
     for (const {served, all} of [others, own]) {
-      expect(served / all).to.be.at.least(LEAST_SERVED_SHARE);
+      expect(served / all).to.be.at.least(MIN_SERVED_SHARE);
     }
   }).timeout(60_000);
 });
 
-/** Pattern: reclaims one after the other, under requests that last for long. */
-describe('a long request whose servers are taken back by their owner', () => {
+/** Guards against blocking a long request whose servers are reclaimed one after the other. */
+describe('a long request whose servers are reclaimed', () => {
   const TURNS = 3;
-  /** From the announcement to the end, in milliseconds. */
+  /** Time from the notice to the termination, in milliseconds. */
   const NOTICE_MS = 400;
-  let system: StandInSystem;
+  let system: TestSystem;
   let host: RunningHost;
 
   beforeEach(async () => {
-    system = new StandInSystem();
+    system = new TestSystem();
     system.addServers(2 * TURNS, () => () => undefined);
     await system.start();
     system.putConfig({routes: [system.createRoute('/a/', {max_attempts: 1})]});
@@ -222,8 +224,8 @@
 
   afterEach(() => system.stop());
 
-  /** Announces that the server which runs a request leaves, and takes it away. */
-  async function takeBack(): Promise<void> {
+  /** Marks the server that runs a request as draining, and terminates it later. */
+  async function reclaim(): Promise<void> {
     const runs = ({seen}: StandInServer) => seen.length > 0;
     await system.waitFor(() => system.servers.some(runs));
     const index = system.servers.findIndex(runs);
@@ -239,10 +241,10 @@
     system.store.remove('servers', `i-${index}`);
   }
 
-  it('is not kept away, though three ended under it in turn', async () => {
+  it('is not blocked, although three servers terminated in turn while running it', async () => {
     for (let turn = 0; turn < TURNS; turn++) {
       const call = system.call(host, '/a/x', {}, 'long');
-      await takeBack();
+      await reclaim();
       expect((await call).status).to.equal(502);
     }
     for (const server of system.servers) {
--- a/test/platform/exchange_fixture.ts
+++ b/test/platform/exchange_fixture.ts
@@ -2,8 +2,8 @@
 import {ExchangeOrder} from '../../src/relay/index.js';
 import {createRoute} from '../relay/route_fixture.js';
 
-/** Makes the sending of a small request to a server that a test plays. */
-export function createOrder(
+/** Creates the parameters for sending a small request to a fake server. */
+export function createExchangeParams(
   id: string,
   address: string,
   overrides: Partial<ExchangeOrder['request']> = {},
--- a/test/platform/front_start_test.ts
+++ b/test/platform/frontend_start_test.ts
@@ -4,28 +4,28 @@
 import {SilentLog} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
 import {SystemClock} from '../../src/time/index.js';
-import {Front} from '../../platform/front.js';
+import {Frontend} from '../../platform/frontend.js';
 import {createRoute} from '../relay/route_fixture.js';
 
-/** Status of a server that answers a request without a body. */
+/** Status of a response without a body. */
 const NO_CONTENT = 204;
 
-describe('Front, on a host that has just started', () => {
+describe('Frontend, on a host that has just started', () => {
   const clock = new SystemClock();
   let catalog: CatalogStore;
-  let front: Front;
+  let frontend: Frontend;
   let url: string;
   let served: string[];
 
   beforeEach(async () => {
     served = [];
     catalog = new CatalogStore(new SilentLog());
-    front = new Front({
+    frontend = new Frontend({
       clock,
       log: new SilentLog(),
       metrics: new Metrics(),
       catalog,
-      isKnown: () => catalog.getView() !== undefined,
+      isInitialized: () => catalog.getView() !== undefined,
       relay: {
         serve: async (request, sink) => {
           served.push(request.id);
@@ -34,13 +34,13 @@
         },
       },
     });
-    await front.listen('127.0.0.1', 0);
-    url = `http://127.0.0.1:${front.getPort()}/a/`;
+    await frontend.listen('127.0.0.1', 0);
+    url = `http://127.0.0.1:${frontend.getPort()}/a/`;
   });
 
-  afterEach(() => front.stop());
+  afterEach(() => frontend.stop());
 
-  function ask(): Promise<Response> {
+  function sendRequest(): Promise<Response> {
     return fetch(url, {headers: {'Request-Id': 'r1'}});
   }
 
@@ -62,22 +62,22 @@
     );
   }
 
-  it('has requests wait for the configuration', async () => {
-    const answer = ask();
+  it('makes requests wait for the configuration', async () => {
+    const answer = sendRequest();
     await clock.sleep(50);
     offerCatalog();
     expect((await answer).status).to.equal(NO_CONTENT);
   });
 
-  it('turns them away, at once from then on, when none comes', async () => {
-    expect((await ask()).status).to.equal(503);
-    const calls = clock.monotonicMs();
-    expect((await ask()).status).to.equal(503);
-    expect(clock.monotonicMs() - calls).to.be.lessThan(900);
+  it('refuses requests if none arrives, and without a wait from then on', async () => {
+    expect((await sendRequest()).status).to.equal(503);
+    const startMs = clock.monotonicMs();
+    expect((await sendRequest()).status).to.equal(503);
+    expect(clock.monotonicMs() - startMs).to.be.lessThan(900);
   });
 
-  it('takes nothing behind a malformed request that waited', async () => {
-    const socket = connect(front.getPort(), '127.0.0.1');
+  it('accepts nothing after a malformed request that waited', async () => {
+    const socket = connect(frontend.getPort(), '127.0.0.1');
     let answers = '';
     socket.on('data', bytes => (answers += String(bytes)));
     const head = 'POST /a/ HTTP/1.1\r\nHost: 127.0.0.1\r\n';
--- a/test/platform/leaving_servers_property_test.ts
+++ b/test/platform/leaving_servers_property_test.ts
@@ -12,7 +12,7 @@
 import {Clock} from '../../src/time/index.js';
 import {StorePage} from '../../platform/store_client.js';
 import {StoreFeed} from '../../platform/store_feed.js';
-import {StoreSteadiness} from '../../platform/store_steadiness.js';
+import {StoreAvailability} from '../../platform/store_availability.js';
 import {HostsFixture} from '../peering/hosts_fixture.js';
 import {TABLE, WordsHost} from '../peering/words_fixture.js';
 
@@ -245,7 +245,7 @@
       knowsOthers: () => true,
       getNewsMs: () => MAX_PROPAGATION_MS,
     });
-    const steadiness = new StoreSteadiness(clock);
+    const availability = new StoreAvailability(clock);
     const call = async (
       timeoutMs: number,
       request: () => Promise<StorePage>,
@@ -257,17 +257,17 @@
       const page = isDisconnected ? undefined : await request();
       await this.waitWhilePaused(name);
       if (page === undefined || this.disconnected.has(name)) {
-        steadiness.addFailure(sentMs);
+        availability.addFailure(sentMs);
         return Result.err({
           kind: TableFailureKind.UNANSWERED,
           detail: 'disconnected',
         });
       }
-      steadiness.addAnswer(sentMs);
+      availability.addSuccess(sentMs);
       return Result.ok(page);
     };
     const client = {
-      getSteadyForMs: () => steadiness.getSteadyForMs(),
+      getAvailableMs: () => availability.getAvailableMs(),
       read: () => call(READ_TIMEOUT_MS, async () => table.read()),
       watch: (_table: string, after: number, waitMs: number) =>
         call(waitMs + WATCH_TIMEOUT_MARGIN_MS, () =>
@@ -283,7 +283,7 @@
       random,
       countReaders: () => reading.countReaders(),
       getMaxWaitMs: () => reading.getMaxWaitMs(),
-      rests: () => reading.rests(TABLE),
+      canSkip: () => reading.rests(TABLE),
       onResponse: () => reading.addResponse(TABLE),
       onRead: asOfMs => readAge.addRead(TABLE, asOfMs),
     });
--- a/test/platform/limited_server_test.ts
+++ b/test/platform/limited_server_test.ts
@@ -3,17 +3,17 @@
 import {
   CallerView,
   RunningHost,
-  StandInSystem,
+  TestSystem,
 } from './stand_in/stand_in_system.js';
 
-/** Requests a second that each limited server takes from all hosts together. */
-const LIMIT = 2.6;
-/** Time in which all hosts have to know a limit, in milliseconds. */
-const CONTACT_MS = 3000;
-/** Span in which what a server gets is counted, in milliseconds. */
+/** Requests per second that each limited server accepts from all hosts together. */
+const LIMIT_PER_S = 2.6;
+/** Time within which all hosts must know a limit, in milliseconds. */
+const PROPAGATION_MS = 3000;
+/** Span in which the requests to a server are counted, in milliseconds. */
 const WINDOW_MS = 4000;
-/** Requests in such a span that a limit allows. */
-const ALLOWED = 1.5 * LIMIT * (WINDOW_MS / 1000) + 5;
+/** Maximum number of requests in such a span under the limit. */
+const MAX_PER_WINDOW = 1.5 * LIMIT_PER_S * (WINDOW_MS / 1000) + 5;
 const SERVERS = 14;
 const HOSTS = [
   'front-1',
@@ -23,40 +23,40 @@
   'front-5',
   'front-6',
 ];
-/** Requests a second of all callers together. */
-const RATE = 120;
-/** Part of what limited servers take that has to be used. */
-const USED_SHARE = 0.8;
-/** Time in which a server has its full share again, in milliseconds. */
-const BACK_MS = 2000;
-/** Time in which a request that cannot be served is refused, in milliseconds. */
-const REFUSED_MS = 50;
-/** Part of the refusals that may come later: the machine may be busy. */
-const LATE_SHARE = 0.05;
+/** Requests per second of all callers together. */
+const REQUESTS_PER_S = 120;
+/** Minimum share of the requests that limited servers accept that must be used. */
+const MIN_USED_SHARE = 0.8;
+/** Time within which a server must get its full share again, in milliseconds. */
+const RECOVERY_MS = 2000;
+/** Time within which a request that cannot be served is refused, in milliseconds. */
+const MAX_REFUSAL_MS = 50;
+/** Share of the refusals that may come later, since the machine may be busy. */
+const MAX_LATE_SHARE = 0.05;
 
-/** A limit that servers name, and what they got. */
+/** Creates servers that may state a limit, and records the requests they get. */
 class LimitedServers {
   /** When each server got each of its requests, in milliseconds. */
   readonly arrivalsMs: number[][] = [];
-  private readonly limited = new Set<number>();
+  private readonly limitedServers = new Set<number>();
 
-  /** Has a server name a limit from now on, or none. */
+  /** Sets whether a server states a limit from now on. */
   setLimited(index: number, isLimited: boolean): void {
     if (isLimited) {
-      this.limited.add(index);
+      this.limitedServers.add(index);
     } else {
-      this.limited.delete(index);
+      this.limitedServers.delete(index);
     }
   }
 
-  /** Returns how a server answers. */
+  /** Creates the script of a server. */
   createScript(index: number): Script {
     const arrivalsMs: number[] = [];
     this.arrivalsMs[index] = arrivalsMs;
     const plain = answerWith('whole');
     return (socket, request) => {
       arrivalsMs.push(performance.now());
-      if (!this.limited.has(index)) {
+      if (!this.limitedServers.has(index)) {
         plain(socket, request);
         return;
       }
@@ -65,7 +65,7 @@
           'HTTP/1.1 200 X',
           `Request-Id: ${request.headers.get('request-id')}`,
           'Server-Signature: sig',
-          `Server-Limit: ${LIMIT}`,
+          `Server-Limit: ${LIMIT_PER_S}`,
           'Content-Length: 5',
           'Keep-Alive: timeout=5',
           '',
@@ -75,14 +75,14 @@
     };
   }
 
-  /** Returns how many requests a server got from a moment up to another. */
+  /** Returns the number of requests that a server got from one time up to another. */
   countBetween(index: number, fromMs: number, toMs: number): number {
     const arrivals = this.arrivalsMs[index] ?? [];
     return arrivals.filter(ms => ms >= fromMs && ms < toMs).length;
   }
 
-  /** Returns the most that a server got in some span after a moment. */
-  countMost(index: number, fromMs: number): number {
+  /** Returns the most requests that a server got in any window from a time on. */
+  countMaxInWindow(index: number, fromMs: number): number {
     const arrivals = (this.arrivalsMs[index] ?? []).filter(ms => ms >= fromMs);
     let most = 0;
     for (const [first, startMs] of arrivals.entries()) {
@@ -94,18 +94,18 @@
   }
 }
 
-/** An answer as a caller got it, and how long it took. */
+/** A response as a caller received it, and how long it took. */
 interface TimedView extends CallerView {
   readonly tookMs: number;
 }
 
-describe('a server that names a limit', () => {
-  let system: StandInSystem;
+describe('a server that states a limit', () => {
+  let system: TestSystem;
   let hosts: RunningHost[];
   let limits: LimitedServers;
 
   beforeEach(async () => {
-    system = new StandInSystem();
+    system = new TestSystem();
     limits = new LimitedServers();
     system.addServers(SERVERS, (_server, index) => limits.createScript(index));
     await system.start();
@@ -114,12 +114,12 @@
 
   afterEach(() => system.stop());
 
-  /** Has callers send at the usual rate, each host in its turn. */
+  /** Sends requests of callers at the usual rate, to each host in turn. */
   async function sendFor(spanMs: number): Promise<TimedView[]> {
     const startMs = performance.now();
     const calls: Promise<TimedView | undefined>[] = [];
     for (let sent = 0; ; sent++) {
-      const dueMs = startMs + (sent * 1000) / RATE;
+      const dueMs = startMs + (sent * 1000) / REQUESTS_PER_S;
       if (dueMs >= startMs + spanMs) {
         break;
       }
@@ -143,45 +143,47 @@
     }
   }
 
-  // Guards against a server being sent several times what it said it takes of all
-  // hosts together.
-  it('gets no more than that of all hosts together', async () => {
+  // Guards against hosts that together send a server several times the limit that it
+  // states for all of them.
+  it('gets no more than its limit from all hosts together', async () => {
     limits.setLimited(0, true);
     const namedMs = performance.now();
-    await sendFor(CONTACT_MS + 2 * WINDOW_MS);
-    const most = limits.countMost(0, namedMs + CONTACT_MS);
-    expect(most).to.be.at.most(ALLOWED);
+    await sendFor(PROPAGATION_MS + 2 * WINDOW_MS);
+    const most = limits.countMaxInWindow(0, namedMs + PROPAGATION_MS);
+    expect(most).to.be.at.most(MAX_PER_WINDOW);
   }).timeout(60_000);
 
-  it('has its full share again once it names none', async () => {
+  it('gets its full share again once it states none', async () => {
     limits.setLimited(0, true);
-    await sendFor(CONTACT_MS);
+    await sendFor(PROPAGATION_MS);
     limits.setLimited(0, false);
-    await sendFor(BACK_MS);
-    const backMs = performance.now();
+    await sendFor(RECOVERY_MS);
+    const recoveredMs = performance.now();
     await sendFor(WINDOW_MS);
-    const own = limits.countBetween(0, backMs, Infinity);
+    const own = limits.countBetween(0, recoveredMs, Infinity);
     let others = 0;
     for (let index = 1; index < SERVERS; index++) {
-      others += limits.countBetween(index, backMs, Infinity);
+      others += limits.countBetween(index, recoveredMs, Infinity);
     }
     expect(own).to.be.above(others / (SERVERS - 1) / 2);
   }).timeout(60_000);
 
-  it('and all others do, too: that is used, and the rest refused at once', async () => {
+  it('is used up to its limit if all others state one, and the rest is refused at once', async () => {
     for (let index = 0; index < SERVERS; index++) {
       limits.setLimited(index, true);
     }
-    await sendFor(CONTACT_MS);
+    await sendFor(PROPAGATION_MS);
     const fromMs = performance.now();
     const views = await sendFor(2 * WINDOW_MS);
     const spanMs = performance.now() - fromMs;
     let used = 0;
     for (let index = 0; index < SERVERS; index++) {
-      expect(limits.countMost(index, fromMs)).to.be.at.most(ALLOWED);
+      expect(limits.countMaxInWindow(index, fromMs)).to.be.at.most(
+        MAX_PER_WINDOW,
+      );
       used += limits.countBetween(index, fromMs, Infinity);
     }
-    const least = (USED_SHARE * SERVERS * LIMIT * spanMs) / 1000;
+    const least = (MIN_USED_SHARE * SERVERS * LIMIT_PER_S * spanMs) / 1000;
     expect(used).to.be.at.least(least);
     const refused = views.filter(({status}) => status === 503);
     expect(refused.length).to.be.above(views.length / 2);
@@ -189,7 +191,7 @@
       expect(body).to.contain('"service-limited"').and.contain('"no"');
       expect(Number(headers['retry-after'])).to.be.above(0);
     }
-    const late = refused.filter(({tookMs}) => tookMs > REFUSED_MS);
-    expect(late.length).to.be.at.most(LATE_SHARE * refused.length);
+    const late = refused.filter(({tookMs}) => tookMs > MAX_REFUSAL_MS);
+    expect(late.length).to.be.at.most(MAX_LATE_SHARE * refused.length);
   }).timeout(60_000);
 });
--- a/test/platform/programs_test.ts
+++ b/test/platform/programs_test.ts
@@ -4,8 +4,8 @@
 import {join} from 'node:path';
 import {expect} from 'chai';
 
-/** How a program ended. */
-interface Run {
+/** Exit code and output of a program. */
+interface ProgramResult {
   readonly code: number;
   readonly output: string;
 }
@@ -14,7 +14,7 @@
   program: string,
   args: readonly string[],
   env: Readonly<Record<string, string>> = {},
-): Promise<Run> {
+): Promise<ProgramResult> {
   return new Promise(resolve => {
     const options = {env: {...process.env, ...env}};
     execFile(
@@ -31,27 +31,29 @@
 }
 
 describe('programs for the platform', () => {
-  let bad: string;
+  let invalidPath: string;
 
   before(async () => {
-    bad = join(await mkdtemp(join(tmpdir(), 'sedgefall-')), 'bad.toml');
-    await writeFile(bad, 'node = "a"\n');
+    invalidPath = join(await mkdtemp(join(tmpdir(), 'sedgefall-')), 'bad.toml');
+    await writeFile(invalidPath, 'node = "a"\n');
   });
 
   it('check_settings names the field and the remedy in one line', async () => {
-    const {code, output} = await run('check_settings', [bad]);
+    const {code, output} = await run('check_settings', [invalidPath]);
     expect(code).to.equal(2);
     expect(output.trim().split('\n')).to.have.length(1);
     expect(output).to.contain('ip:');
   });
 
-  it('sedgefalld does not start with a bad file', async () => {
-    const {code, output} = await run('sedgefalld', [], {SEDGEFALL_BOOT: bad});
+  it('sedgefalld does not start with an invalid file', async () => {
+    const {code, output} = await run('sedgefalld', [], {
+      SEDGEFALL_BOOT: invalidPath,
+    });
     expect(code).to.equal(2);
     expect(output.trim().split('\n')).to.have.length(1);
   });
 
-  it('sedgefalld says what is missing without a file', async () => {
+  it('sedgefalld reports that it cannot read the file if the path is empty', async () => {
     const {code, output} = await run('sedgefalld', [], {SEDGEFALL_BOOT: ''});
     expect(code).to.equal(2);
     expect(output).to.contain('cannot be read');
--- a/test/platform/relay_host_test.ts
+++ b/test/platform/relay_host_test.ts
@@ -1,13 +1,13 @@
 import {expect} from 'chai';
 import {formatHead} from './stand_in/stand_in_server.js';
-import {RunningHost, StandInSystem} from './stand_in/stand_in_system.js';
+import {RunningHost, TestSystem} from './stand_in/stand_in_system.js';
 
-describe('a host on the stand-in of the platform', () => {
-  let system: StandInSystem;
+describe('a host on the fake platform', () => {
+  let system: TestSystem;
   let first: RunningHost;
 
   beforeEach(async () => {
-    system = new StandInSystem();
+    system = new TestSystem();
     await system.start();
     first = await system.startHost('front-1');
     await system.waitFor(() => system.isReady(first));
@@ -16,7 +16,7 @@
   afterEach(() => system.stop());
 
   describe('requests', () => {
-    it('are answered with the bytes and the signature of a server', async () => {
+    it('get the response of a server with its bytes and signature', async () => {
       const answer = await system.call(first, '/a/x?y=z', {}, 'body');
       expect(answer.status).to.equal(200);
       expect(answer.body).to.equal('whole');
@@ -47,7 +47,7 @@
       expect(system.servers.flatMap(server => server.seen)).to.deep.equal([]);
     });
 
-    it('whose answer breaks off are broken off, never ended', async () => {
+    it('whose response is cut off are cut off, and never completed', async () => {
       for (const server of system.servers) {
         server.script = (socket, request) =>
           void socket.write(
@@ -61,7 +61,7 @@
   });
 
   describe('a new configuration', () => {
-    it('comes into force and an unreadable one does not', async () => {
+    it('takes effect, and an unreadable one does not', async () => {
       system.putConfig({routes: [system.createRoute('/b/', {})]});
       await system.waitFor(
         async () => (await system.call(first, '/b/')).status === 200,
@@ -73,7 +73,7 @@
       );
     });
 
-    it('is learnt from a peer when the store does not tell', async () => {
+    it('is received from a peer if the store does not report it', async () => {
       const second = await system.startHost('front-2');
       await system.waitFor(() => system.isReady(second));
       system.store.faults.deafWatches = true;
@@ -88,7 +88,7 @@
   });
 
   describe('a server that leaves', () => {
-    it('gets no more requests once the store has its word', async () => {
+    it('gets no more requests once its entry is removed from the store', async () => {
       const [leaving] = system.servers;
       system.store.remove('servers', 'i-0');
       await system.waitFor(async () => {
@@ -102,7 +102,7 @@
       expect(leaving?.seen.length).to.equal(before);
     });
 
-    it('is kept while the store is away, and after for its entry to return', async () => {
+    it('is kept during an outage of the store, and afterwards until its entry may return', async () => {
       system.store.faults.busy = true;
       await system.waitFor(() => system.store.calls.length > 20);
       system.store.remove('servers', 'i-0');
@@ -115,7 +115,7 @@
   });
 
   describe('usage', () => {
-    it('is reported once a window, with the same counts after a lost answer', async () => {
+    it('is reported for each window, with the same counts in repeated reports', async () => {
       for (let count = 0; count < 7; count++) {
         await system.call(first, '/a/');
       }
@@ -140,7 +140,7 @@
   });
 
   describe('a stop', () => {
-    it('turns new channels away at once and cuts off no answer', async () => {
+    it('makes the host not ready at once, and cuts off no response', async () => {
       for (const server of system.servers) {
         server.script = (socket, request) =>
           void setTimeout(
--- a/test/platform/rollout_test.ts
+++ b/test/platform/rollout_test.ts
@@ -1,24 +1,24 @@
-/** Pattern: an operator moves a service to another version, before the real programs. */
+/** Moves a service to another version on running hosts, with a fake store and fake servers. */
 import {expect} from 'chai';
 import {decodeRolloutOrder} from '../../platform/rollout_record.js';
 import {answerWith, StandInServer} from './stand_in/stand_in_server.js';
-import {RunningHost, StandInSystem} from './stand_in/stand_in_system.js';
+import {RunningHost, TestSystem} from './stand_in/stand_in_system.js';
 
 const SERVICE = 'ledger';
 const STATUS_KEY = `rollout/${SERVICE}`;
 const NEW = 'v2';
 
-describe('a roll-out before the programs', () => {
+describe('a roll-out on running hosts', () => {
   const DURATION_S = 3;
   const PAUSE_MS = 4;
-  let system: StandInSystem;
+  let system: TestSystem;
   let hosts: RunningHost[];
   let added: StandInServer[];
   let isOver: boolean;
 
   beforeEach(async () => {
     isOver = false;
-    system = new StandInSystem();
+    system = new TestSystem();
     await system.start();
     hosts = [];
     for (const name of ['front-1', 'front-2', 'front-3']) {
@@ -66,7 +66,7 @@
     return (status as {state?: string} | undefined)?.state;
   }
 
-  it('is completed where the new version is good, and all go there', async () => {
+  it('is completed if the new version works, and all requests go to it', async () => {
     void sendRequests();
     order();
     await startNewServers();
@@ -86,7 +86,7 @@
     }
   }).timeout(30_000);
 
-  it('is rolled back where the new version fails, and none go there', async () => {
+  it('is rolled back if the new version fails, and no requests go to it', async () => {
     for (const server of added) {
       server.script = answerWith('failed', 500);
     }
@@ -101,7 +101,7 @@
     expect(later).to.equal(seen);
   }).timeout(30_000);
 
-  it('sends a version nothing that no order names', async () => {
+  it('sends no requests to a version that no order names', async () => {
     void sendRequests();
     await startNewServers();
     await new Promise(resolve => setTimeout(resolve, 1000));
@@ -128,10 +128,10 @@
   for (const [what, change] of [
     ['another service', {service: 'other'}],
     ['no version', {to: undefined}],
-    ['a version that is no text', {to: 2}],
+    ['a version that is not text', {to: 2}],
     ['a duration of 0', {duration_s: 0}],
     ['a duration below 0', {duration_s: -1}],
-    ['a duration that is no number', {duration_s: 'soon'}],
+    ['a duration that is not a number', {duration_s: 'soon'}],
   ] as const) {
     it(`refuses ${what}, with the remedy`, () => {
       const decoded = decode({...order, ...change});
@@ -140,7 +140,7 @@
     });
   }
 
-  it('refuses what is no object', () => {
+  it('refuses a record that is not an object', () => {
     expect(decodeRolloutOrder(SERVICE, '{', 7).isErr).to.equal(true);
     expect(decode([1]).isErr).to.equal(true);
   });
--- a/test/platform/server_exchange_property_test.ts
+++ b/test/platform/server_exchange_property_test.ts
@@ -3,36 +3,36 @@
 import fc from 'fast-check';
 import {ExchangeKind} from '../../src/relay/index.js';
 import {ServerExchange} from '../../platform/server_exchange.js';
-import {createOrder} from './exchange_fixture.js';
+import {createExchangeParams} from './exchange_fixture.js';
 import {answerWith, Script, StandInServer} from './stand_in/stand_in_server.js';
 
 const SEED = 20261202;
 const RUNS = 150;
 
-/** How the end of a body is told. */
+/** How the end of a body is marked. */
 const Framing = {
   LENGTH: 'length',
   CHUNKS: 'chunks',
-  CHANNEL_END: 'channel-end',
+  CONNECTION_END: 'channel-end',
 } as const;
 type Framing = (typeof Framing)[keyof typeof Framing];
 
-/** How a channel ends after the last byte. */
+/** What happens to a connection after the last byte. */
 const End = {KEPT: 'kept', CLOSED: 'closed', RESET: 'reset'} as const;
 type End = (typeof End)[keyof typeof End];
 
-/** What a server does in answer to one request. */
+/** How a server responds to one request. */
 interface Behaviour {
   readonly framing: Framing;
   readonly body: string;
   readonly id: 'own' | 'other' | 'none';
   readonly signed: boolean;
   readonly status: number;
-  readonly saysNotRun: boolean;
-  /** Share of the answer's bytes that are sent at all. */
+  readonly statesNotRun: boolean;
+  /** Share of the response's bytes that are sent. */
   readonly sentShare: number;
   readonly end: End;
-  /** Bytes that follow a whole answer and belong to no request. */
+  /** Bytes that follow a complete response and belong to no request. */
   readonly extra: string;
   readonly cuts: readonly number[];
 }
@@ -49,7 +49,7 @@
     {weight: 6, arbitrary: fc.constant(200)},
     fc.constantFrom(201, 404, 421, 429, 500, 503),
   ),
-  saysNotRun: fc.oneof(
+  statesNotRun: fc.oneof(
     {weight: 6, arbitrary: fc.constant(false)},
     fc.boolean(),
   ),
@@ -68,7 +68,7 @@
   cuts: fc.array(fc.integer({min: 1, max: 60}), {maxLength: 4}),
 });
 
-describe('ServerExchange, by generated answers', () => {
+describe('ServerExchange, with generated responses', () => {
   let server: StandInServer;
   let address: string;
   let exchange: ServerExchange;
@@ -77,15 +77,20 @@
   beforeEach(async () => {
     server = new StandInServer(answerWith('whole'));
     address = await server.listen();
-    exchange = new ServerExchange(PATIENT_MS);
+    exchange = new ServerExchange(RESPONSE_TIMEOUT_MS);
   });
 
   afterEach(() => server.stop());
 
-  /** Sends one request; returns what a caller would be told. */
-  async function send(id: string, ends = true): Promise<Outcome> {
-    const silent = AbortSignal.timeout(ends ? PATIENT_MS : SILENT_MS);
-    const result = await exchange.send(createOrder(id, address), silent);
+  /** Sends one request; returns the outcome for its caller. */
+  async function send(id: string, hasEnd = true): Promise<Outcome> {
+    const timeout = AbortSignal.timeout(
+      hasEnd ? RESPONSE_TIMEOUT_MS : ENDLESS_TIMEOUT_MS,
+    );
+    const result = await exchange.send(
+      createExchangeParams(id, address),
+      timeout,
+    );
     if (result.kind !== ExchangeKind.ANSWERED) {
       return {kind: result.kind};
     }
@@ -101,24 +106,26 @@
     return {kind: 'whole', status: result.status, body};
   }
 
-  it('takes for whole only what is, and never what belongs to another', async () => {
+  it('accepts as complete only complete responses, and none to another request', async () => {
     let whole = 0;
     await fc.assert(
-      fc.asyncProperty(behaviour, async made => {
-        server.script = perform(made);
-        const outcome = await send(`r${++count}`, ends(made));
+      fc.asyncProperty(behaviour, async generated => {
+        server.script = perform(generated);
+        const outcome = await send(`r${++count}`, hasDetectableEnd(generated));
         if (outcome.kind === 'whole') {
           whole++;
           expect(outcome).to.deep.include({
-            status: made.status,
-            body: made.body,
+            status: generated.status,
+            body: generated.body,
           });
-          expect(made.id).to.equal('own');
-          expect(made.signed).to.equal(true);
-          expect(isWhole(made)).to.equal(true);
+          expect(generated.id).to.equal('own');
+          expect(generated.signed).to.equal(true);
+          expect(isComplete(generated)).to.equal(true);
         }
         if (outcome.kind === ExchangeKind.NOT_RUN) {
-          expect(made.saysNotRun || made.status === 421).to.equal(true);
+          expect(generated.statesNotRun || generated.status === 421).to.equal(
+            true,
+          );
         }
       }),
       {seed: SEED, numRuns: RUNS},
@@ -126,11 +133,11 @@
     expect(whole).to.be.greaterThan(RUNS / 10);
   });
 
-  it('gives the next request its own answer, whatever came before', async () => {
+  it('gives the next request its own response, whatever arrived before', async () => {
     await fc.assert(
-      fc.asyncProperty(behaviour, fc.boolean(), async (made, isAtOnce) => {
-        server.script = perform(made);
-        await send(`r${++count}`, ends(made));
+      fc.asyncProperty(behaviour, fc.boolean(), async (generated, isAtOnce) => {
+        server.script = perform(generated);
+        await send(`r${++count}`, hasDetectableEnd(generated));
         if (!isAtOnce) {
           await new Promise(resolve => setTimeout(resolve, 2));
         }
@@ -146,46 +153,48 @@
   });
 });
 
-/** What a caller would be told. */
+/** Outcome of a request for its caller. */
 interface Outcome {
   readonly kind: string;
   readonly status?: number;
   readonly body?: string;
 }
 
-/** Time after which an answer that never ends is given up, in milliseconds. */
-const SILENT_MS = 30;
-/** Time for an answer that ends, on a busy machine, in milliseconds. */
-const PATIENT_MS = 5000;
+/** Timeout for a response that never ends, in milliseconds. */
+const ENDLESS_TIMEOUT_MS = 30;
+/** Timeout for a response that ends, on a busy machine, in milliseconds. */
+const RESPONSE_TIMEOUT_MS = 5000;
 
-/** Tells whether the one who asked learns that nothing more comes. */
-function ends(made: Behaviour): boolean {
-  return made.end !== End.KEPT || isWhole(made);
+/** Returns whether the requester can detect the end of the response. */
+function hasDetectableEnd(generated: Behaviour): boolean {
+  return generated.end !== End.KEPT || isComplete(generated);
 }
 
-/** Tells whether a server sent the whole answer, and so that it shows. */
-function isWhole(made: Behaviour): boolean {
-  if (made.framing === Framing.CHANNEL_END) {
-    return made.end === End.CLOSED && made.sentShare === 1;
+/** Returns whether a server sent a response that is recognizable as complete. */
+function isComplete(generated: Behaviour): boolean {
+  if (generated.framing === Framing.CONNECTION_END) {
+    return generated.end === End.CLOSED && generated.sentShare === 1;
   }
-  // The last chunk's line ends are part of the answer.
-  return made.sentShare === 1;
+  // The line ends of the last chunk are part of the response.
+  return generated.sentShare === 1;
 }
 
-function perform(made: Behaviour): Script {
+function perform(generated: Behaviour): Script {
   return (socket, request) => {
     const own = request.headers.get('request-id') ?? '';
-    const answer = format(made, own);
-    const length = Math.floor(answer.length * made.sentShare);
+    const answer = format(generated, own);
+    const length = Math.floor(answer.length * generated.sentShare);
     const isCut = length < answer.length;
     const extra =
-      isCut || made.framing === Framing.CHANNEL_END ? '' : made.extra;
-    void writePieces(socket, answer.slice(0, length) + extra, made);
+      isCut || generated.framing === Framing.CONNECTION_END
+        ? ''
+        : generated.extra;
+    void writePieces(socket, answer.slice(0, length) + extra, generated);
   };
 }
 
-function format(made: Behaviour, ownId: string): string {
-  const {framing, body, id, signed, status, saysNotRun} = made;
+function format(generated: Behaviour, ownId: string): string {
+  const {framing, body, id, signed, status, statesNotRun} = generated;
   const lines = [`HTTP/1.1 ${status} X`];
   if (id !== 'none') {
     lines.push(`Request-Id: ${id === 'own' ? ownId : 'other'}`);
@@ -193,7 +202,7 @@
   if (signed) {
     lines.push('Server-Signature: sig');
   }
-  if (saysNotRun) {
+  if (statesNotRun) {
     lines.push('Not-Executed: 1');
   }
   lines.push('Keep-Alive: timeout=5');
--- a/test/platform/server_exchange_test.ts
+++ b/test/platform/server_exchange_test.ts
@@ -5,7 +5,7 @@
   ExchangeResult,
 } from '../../src/relay/index.js';
 import {ServerExchange} from '../../platform/server_exchange.js';
-import {createOrder} from './exchange_fixture.js';
+import {createExchangeParams} from './exchange_fixture.js';
 import {
   answerWith,
   formatHead,
@@ -32,7 +32,7 @@
   ): Promise<ExchangeResult> {
     const id = overrides.id ?? `r${++sent}`;
     return exchange.send(
-      createOrder(id, overrides.address ?? address, {
+      createExchangeParams(id, overrides.address ?? address, {
         path: '/a/b?c=d',
         headers: [
           ['Host', 'h'],
@@ -51,8 +51,8 @@
     return Buffer.concat(pieces).toString();
   }
 
-  describe('what is sent', () => {
-    it('names the server that is meant and the time that is left', async () => {
+  describe('a request', () => {
+    it('names the intended server and the remaining time', async () => {
       await read(await send());
       const [seen] = server.seen;
       expect(seen?.line).to.equal('POST /a/b?c=d HTTP/1.1');
@@ -62,12 +62,15 @@
     });
 
     for (const channel of ['new', 'reused'] as const) {
-      it(`is nothing on a ${channel} channel if the server no longer accepts requests`, async () => {
+      it(`is not written to a ${channel} connection if the server no longer accepts requests`, async () => {
         if (channel === 'reused') {
           await read(await send());
         }
         const before = server.seen.length;
-        const order = {...createOrder('late', address), maySend: () => false};
+        const order = {
+          ...createExchangeParams('late', address),
+          maySend: () => false,
+        };
         const result = await exchange.send(order, new AbortController().signal);
         expect(result).to.deep.include({
           kind: ExchangeKind.NOT_RUN,
@@ -78,13 +81,13 @@
       });
     }
 
-    it('uses a channel again while its server keeps it', async () => {
+    it('reuses a connection while its server keeps it open', async () => {
       await read(await send());
       await read(await send());
-      expect(server.channels).to.equal(1);
+      expect(server.connectionCount).to.equal(1);
     });
 
-    it('leaves nothing on a channel that is used many times', async () => {
+    it('causes no warning on a connection that is used many times', async () => {
       const warnings: string[] = [];
       const warn = (warning: Error) => warnings.push(warning.name);
       process.on('warning', warn);
@@ -93,23 +96,23 @@
       }
       await new Promise(resolve => setImmediate(resolve));
       process.off('warning', warn);
-      expect(server.channels).to.equal(1);
+      expect(server.connectionCount).to.equal(1);
       expect(warnings).to.deep.equal([]);
     });
 
-    it('keeps no channel whose server does not say for how long', async () => {
+    it('does not reuse a connection if its server states no keep-alive timeout', async () => {
       server.script = (socket, request) =>
         void socket.write(formatHead(request, 200, ['Content-Length: 0']));
       await read(await send());
       await read(await send());
-      expect(server.channels).to.equal(2);
+      expect(server.connectionCount).to.equal(2);
     });
   });
 
-  describe('the limit that its server names', () => {
+  describe('the limit that a server states', () => {
     const LIMIT = 'Server-Limit: 2.5';
 
-    /** Returns what is read of an answer's limit; nothing where it is not read. */
+    /** Returns the limit read from a response; 'not read' if the exchange ignores it. */
     async function readLimit(
       status: number,
       headers: readonly string[],
@@ -129,7 +132,7 @@
           );
     }
 
-    it('is read of answers, failures and rejections', async () => {
+    it('is read from responses, failures and rejections', async () => {
       for (const status of [200, 404, 500, 503]) {
         expect(await readLimit(status, [LIMIT])).to.equal(2.5);
       }
@@ -137,13 +140,13 @@
       expect(await readLimit(503, rejected)).to.equal(2.5);
     });
 
-    it('is none where an answer that is no failure names none', async () => {
+    it('is absent if a success states none, and not read if a failure states none', async () => {
       expect(await readLimit(200, [])).to.equal(undefined);
       expect(await readLimit(500, [])).to.equal('not read');
       expect(await readLimit(503, ['Not-Executed: 1'])).to.equal('not read');
     });
 
-    it('is the lowest of several, and nothing where one cannot be read', async () => {
+    it('is the lowest of several, and unusable if one of them is invalid', async () => {
       expect(await readLimit(200, [LIMIT, 'Server-Limit: 1'])).to.equal(1);
       expect(await readLimit(200, [LIMIT, 'Server-Limit: x'])).to.equal(
         'unusable',
@@ -153,7 +156,7 @@
       ).to.equal('unusable');
     });
 
-    it('is not read of what another server or request was answered', async () => {
+    it('is not read from a response of another server or to another request', async () => {
       expect(await readLimit(421, [LIMIT])).to.equal('not read');
       const change = (head: string) =>
         head.replace(/Request-Id: \S+/, 'Request-Id: other');
@@ -161,9 +164,9 @@
     });
   });
 
-  describe('an answer', () => {
+  describe('a response', () => {
     const cases: Record<string, [Script, string]> = {
-      'of another request': [
+      'to another request': [
         (socket, request) =>
           void socket.write(
             formatHead(request, 200, ['Content-Length: 0']).replace(
@@ -193,15 +196,15 @@
           ),
         ExchangeKind.LOST,
       ],
-      'that is no HTTP': [
+      'that is not HTTP': [
         socket => void socket.write('garbage\r\n\r\n'),
         ExchangeKind.LOST,
       ],
-      'that never comes since the channel is closed': [
+      'that never arrives because the connection is closed': [
         socket => void socket.destroy(),
         ExchangeKind.LOST,
       ],
-      'that says it did not run': [
+      'that states that the request did not run': [
         socket =>
           void socket.write(
             'HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n',
@@ -221,14 +224,14 @@
       });
     }
 
-    it('without a length is whole when its channel ends', async () => {
+    it('without a length is complete when its connection ends', async () => {
       server.script = (socket, request) => {
         socket.end(`${formatHead(request, 200)}to the end`);
       };
       expect(await read(await send())).to.equal('to the end');
     });
 
-    it('without a length is not whole when its channel is reset', async () => {
+    it('without a length is incomplete if its connection is reset', async () => {
       server.script = (socket, request) => {
         socket.write(`${formatHead(request, 200)}to the`, () =>
           setTimeout(() => socket.resetAndDestroy(), 30),
@@ -238,7 +241,7 @@
       expect(error).to.contain('Error');
     });
 
-    it('without a length is not whole when it is reset with its last bytes', async () => {
+    it('without a length is incomplete if the reset comes with its last bytes', async () => {
       server.script = (socket, request) => {
         socket.write(`${formatHead(request, 200)}to the`, () =>
           socket.resetAndDestroy(),
@@ -253,14 +256,14 @@
       }
     });
 
-    it('without content is whole with its head', async () => {
+    it('without content is complete after its head', async () => {
       server.script = (socket, request) => {
         socket.write(formatHead(request, 204, ['Keep-Alive: timeout=5']));
       };
       expect(await read(await send())).to.equal('');
     });
 
-    it('that is shorter than its length is not whole', async () => {
+    it('that is shorter than its length is incomplete', async () => {
       server.script = (socket, request) => {
         socket.end(`${formatHead(request, 200, ['Content-Length: 9'])}short`);
       };
@@ -268,7 +271,7 @@
       expect(error).to.contain('Error');
     });
 
-    it('that comes twice spoils no later request', async () => {
+    it('that arrives twice does not affect a later request', async () => {
       server.script = (socket, request) => {
         answerWith('whole')(socket, request);
         answerWith('extra')(socket, request);
@@ -281,21 +284,21 @@
   });
 
   describe('a server that cannot be reached', () => {
-    it('did certainly not run the request', async () => {
+    it('has certainly not run the request', async () => {
       server.stop();
       expect((await send()).kind).to.equal(ExchangeKind.NOT_RUN);
     });
   });
 
   describe('cancelling', () => {
-    it('closes the channel at the server', async () => {
+    it('closes the connection at the server', async () => {
       server.script = () => undefined;
-      const left = new AbortController();
-      const result = send({signal: left.signal});
+      const controller = new AbortController();
+      const result = send({signal: controller.signal});
       while (server.seen.length === 0) {
         await new Promise(resolve => setImmediate(resolve));
       }
-      left.abort();
+      controller.abort();
       expect((await result).kind).to.equal(ExchangeKind.LOST);
       while (server.sockets.size > 0) {
         await new Promise(resolve => setImmediate(resolve));
@@ -304,7 +307,7 @@
   });
 
   describe('forget', () => {
-    it('does not cut off an answer that is under way', async () => {
+    it('does not cut off a response in progress', async () => {
       server.script = (socket, request) => {
         socket.write(`${formatHead(request, 200, ['Content-Length: 6'])}abc`);
         setTimeout(() => socket.write('def'), 40);
--- a/test/platform/server_limit_test.ts
+++ b/test/platform/server_limit_test.ts
@@ -1,11 +1,11 @@
 import {expect} from 'chai';
 import {readServerLimit} from '../../platform/server_limit.js';
 
-describe('the limit that a server names', () => {
+describe('readServerLimit', () => {
   const read = (...values: readonly string[]) =>
     readServerLimit(values).map(limit => limit.unwrapOr(undefined));
 
-  it('is a decimal number of requests a second', () => {
+  it('parses a decimal number of requests per second', () => {
     for (const [text, limit] of [
       ['2.6', 2.6],
       ['40', 40],
@@ -18,16 +18,16 @@
     }
   });
 
-  it('is absent where no answer names it', () => {
+  it('returns nothing if no value is given', () => {
     expect(read().isOk).to.equal(true);
     expect(read().unwrapOr(1)).to.equal(undefined);
   });
 
-  it('is the lowest where an answer names several', () => {
+  it('returns the lowest of several values', () => {
     expect(read('4', '2.5').unwrapOr(undefined)).to.equal(2.5);
   });
 
-  it('is refused where it cannot be read, with what was said', () => {
+  it('rejects an invalid value and quotes it', () => {
     const long = '1'.repeat(10_240);
     for (const text of [
       '',
--- a/test/platform/server_record_test.ts
+++ b/test/platform/server_record_test.ts
@@ -9,8 +9,8 @@
 import {
   createCatalogRows,
   createServerRows,
-  readCatalog,
-  readServers,
+  subscribeCatalog,
+  subscribeServers,
 } from '../../platform/replicas.js';
 import {decodeServer} from '../../platform/server_record.js';
 
@@ -30,7 +30,7 @@
     return decodeServer('i-1', JSON.stringify({...entry, ...changes}));
   }
 
-  it('reads an entry as servers write it', () => {
+  it('decodes an entry as servers write it', () => {
     const server = decode({spot: true, leaves_ms: 1500, extra: [1]});
     expect(server.unwrapOr(undefined)).to.deep.equal({
       id: 'i-1',
@@ -47,12 +47,12 @@
     });
   });
 
-  it('tells the starts of a server apart', () => {
+  it('distinguishes the incarnations of a server', () => {
     const server = decode({born: 1_790_000_000_123});
     expect(server.isOk && server.value.id).to.equal('i-1@1790000000123');
   });
 
-  describe('takes for another writer’s', () => {
+  describe('rejects', () => {
     for (const field of Object.keys(entry)) {
       it(`an entry without ${field}`, () => {
         expect(decode({[field]: undefined}).isErr).to.equal(true);
@@ -77,7 +77,7 @@
         expect(decode(changes).isErr).to.equal(true);
       });
     }
-    it('what is not JSON, or no object', () => {
+    it('text that is not JSON, or not an object', () => {
       for (const text of ['', '{"service"', '[]', '7', 'null']) {
         expect(decodeServer('i-1', text).isErr).to.equal(true);
       }
@@ -85,7 +85,7 @@
   });
 });
 
-describe('readServers', () => {
+describe('subscribeServers', () => {
   let version = 0;
 
   function createReader() {
@@ -115,8 +115,8 @@
       fleet,
       orders: new RolloutOrders(),
     };
-    readCatalog(createCatalogRows(), readers);
-    readServers(rows, readers);
+    subscribeCatalog(createCatalogRows(), readers);
+    subscribeServers(rows, readers);
     const put = (key: string, text: string | undefined) => {
       version++;
       rows.add({key, version, ...(text === undefined ? {} : {text})}, 'test');
@@ -125,7 +125,7 @@
     return {put, list, skipped, metrics};
   }
 
-  it('uses no server under an entry that another writer wrote over it', () => {
+  it('uses no server whose entry another writer has overwritten', () => {
     const {put, list, skipped, metrics} = createReader();
     put('i-1', JSON.stringify(entry));
     put('i-2', JSON.stringify(entry));
@@ -137,7 +137,7 @@
     expect(metrics.getCount('records_skipped', {table: 'servers'})).to.equal(2);
   });
 
-  it('uses the server again once its own entry is back', () => {
+  it('uses the server again once its own entry is restored', () => {
     const {put, list} = createReader();
     put('i-1', JSON.stringify(entry));
     put('i-1', 'nothing');
@@ -145,7 +145,7 @@
     expect(list()).to.deep.equal(['i-1']);
   });
 
-  it('follows a server from start to start', () => {
+  it('follows a server from one incarnation to the next', () => {
     const {put, list} = createReader();
     put('i-1', JSON.stringify({...entry, born: 1000, sequence: 40}));
     put('i-1', JSON.stringify({...entry, born: 2000, sequence: 1}));
--- a/test/platform/settings_test.ts
+++ b/test/platform/settings_test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {parsePlatformSettings} from '../../platform/settings.js';
 
-const GOOD = `
+const VALID_TEXT = `
 node = "front-1"
 ip = "10.1.0.14"
 zone = "tac"
@@ -18,19 +18,21 @@
 `;
 
 describe('parsePlatformSettings', () => {
-  it('reads what it needs and ignores the rest', () => {
-    const settings = parsePlatformSettings(GOOD).unwrapOrElse(mistake => {
-      throw new Error(mistake);
+  it('reads the fields in use and ignores others', () => {
+    const settings = parsePlatformSettings(VALID_TEXT).unwrapOrElse(error => {
+      throw new Error(error);
     });
     expect(settings.peersAddress).to.equal('10.1.0.14:7600');
     expect(settings.graceMs).to.equal(8000);
     expect(settings.cloudAddress).to.equal(undefined);
   });
 
-  it('does only the duties that the cloud expects', () => {
+  it('enables only the duties that the cloud lists', () => {
     const cloud = '[cloud]\naddress = "10.200.0.35:8225"\nduties = ["usage"]';
-    const none = parsePlatformSettings(GOOD).unwrapOr(undefined);
-    const some = parsePlatformSettings(`${GOOD}${cloud}`).unwrapOr(undefined);
+    const none = parsePlatformSettings(VALID_TEXT).unwrapOr(undefined);
+    const some = parsePlatformSettings(`${VALID_TEXT}${cloud}`).unwrapOr(
+      undefined,
+    );
     expect([none?.reportsUsage, none?.ordersServers]).to.deep.equal([
       false,
       false,
@@ -41,19 +43,19 @@
     ]);
   });
 
-  const bad: Record<string, [string, string]> = {
-    'a field that is missing': [GOOD.replace(/node = .*/, ''), 'node'],
+  const invalidTexts: Record<string, [string, string]> = {
+    'a field that is missing': [VALID_TEXT.replace(/node = .*/, ''), 'node'],
     'an address without a port': [
-      GOOD.replace('10.1.0.14:8221', '10.1.0.14'),
+      VALID_TEXT.replace('10.1.0.14:8221', '10.1.0.14'),
       'listen.front',
     ],
-    'text that is no TOML': [`${GOOD}\n[`, 'TOML'],
+    'text that is not TOML': [`${VALID_TEXT}\n[`, 'TOML'],
   };
-  for (const [name, [text, word]] of Object.entries(bad)) {
+  for (const [name, [text, expected]] of Object.entries(invalidTexts)) {
     it(`names ${name} in one line`, () => {
       const parsed = parsePlatformSettings(text);
       const line = parsed.isErr ? parsed.error : '';
-      expect(line).to.contain(word);
+      expect(line).to.contain(expected);
       expect(line).to.not.contain('\n');
     });
   }
--- a/test/platform/stand_in/stand_in_server.ts
+++ b/test/platform/stand_in/stand_in_server.ts
@@ -1,32 +1,32 @@
 import {createServer, Server, Socket} from 'node:net';
 import {AddressInfo} from 'node:net';
 
-/** A request as the stand-in read it. */
+/** A request as the fake server parsed it. */
 export interface SeenRequest {
   readonly line: string;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
 }
 
-/** Writes an answer, byte by byte, to a request. */
+/** Writes the raw bytes of the response to a request. */
 export type Script = (socket: Socket, request: SeenRequest) => void;
 
 /**
- * A backend server whose answers are written as bytes, so that it can break
- * every rule of the protocol.
+ * A backend server whose responses are written as raw bytes, so that it can violate any
+ * rule of the protocol.
  */
 export class StandInServer {
   readonly seen: SeenRequest[] = [];
   readonly sockets = new Set<Socket>();
-  channels = 0;
+  connectionCount = 0;
   private readonly server: Server;
 
-  /** @param script - Answers each request; may be changed while it runs. */
+  /** @param script - Responds to each request; may be replaced while the server runs. */
   constructor(public script: Script) {
     this.server = createServer(socket => this.serve(socket));
   }
 
-  /** Starts to listen; returns the address. */
+  /** Starts listening; returns the address. */
   async listen(): Promise<string> {
     await new Promise<void>(resolve => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -42,19 +42,19 @@
   }
 
   private serve(socket: Socket): void {
-    this.channels++;
+    this.connectionCount++;
     this.sockets.add(socket);
-    let waiting = Buffer.alloc(0);
+    let received = Buffer.alloc(0);
     socket.on('error', () => undefined);
     socket.on('close', () => this.sockets.delete(socket));
     socket.on('data', bytes => {
-      waiting = Buffer.concat([waiting, bytes]);
+      received = Buffer.concat([received, bytes]);
       for (;;) {
-        const parsed = parse(waiting);
+        const parsed = parse(received);
         if (parsed === undefined) {
           return;
         }
-        waiting = waiting.subarray(parsed.length);
+        received = received.subarray(parsed.length);
         this.seen.push(parsed.request);
         this.script(socket, parsed.request);
       }
@@ -86,26 +86,29 @@
   return {request: {line, headers, body}, length};
 }
 
-/** Writes the head of an answer that is in order. */
+/** Formats the head of a valid response. */
 export function formatHead(
   request: SeenRequest,
   status: number,
-  more: readonly string[] = [],
+  extraHeaders: readonly string[] = [],
 ): string {
   return [
     `HTTP/1.1 ${status} X`,
     `Request-Id: ${request.headers.get('request-id')}`,
     'Server-Signature: sig',
-    ...more,
+    ...extraHeaders,
     '',
     '',
   ].join('\r\n');
 }
 
-/** Answers with a whole body. */
+/** Creates a script that responds with a complete body. */
 export function answerWith(body: string, status = 200): Script {
   return (socket, request) => {
-    const more = [`Content-Length: ${body.length}`, 'Keep-Alive: timeout=5'];
-    socket.write(formatHead(request, status, more) + body);
+    const extraHeaders = [
+      `Content-Length: ${body.length}`,
+      'Keep-Alive: timeout=5',
+    ];
+    socket.write(formatHead(request, status, extraHeaders) + body);
   };
 }
--- a/test/platform/stand_in/stand_in_store.ts
+++ b/test/platform/stand_in/stand_in_store.ts
@@ -1,7 +1,7 @@
 import {createServer, IncomingMessage, Server, ServerResponse} from 'node:http';
 import {AddressInfo} from 'node:net';
 
-/** A row as the stand-in keeps it. */
+/** A row as the fake store keeps it. */
 interface StoreRow {
   readonly table: string;
   readonly part: string;
@@ -11,39 +11,39 @@
   readonly removed?: boolean;
 }
 
-/** Faults of the stand-in; each may be switched while it runs. */
+/** Faults of the fake store; each can be switched on and off while it runs. */
 export interface StoreFaults {
-  /** Answers 503 to every call. */
+  /** Responds with status 503 to every call. */
   busy: boolean;
-  /** Takes calls and never answers. */
+  /** Accepts calls and never responds. */
   silent: boolean;
-  /** Carries writes out and closes the channel without an answer. */
+  /** Executes writes and closes the connection without a response. */
   loseWriteAnswers: boolean;
-  /** Takes watches and never answers them, as a channel that fell silent. */
-  silentWatches: boolean;
-  /** Answers watches only when their wait is over, as if nothing changed. */
+  /** Accepts watches and never responds, like an unresponsive connection. */
+  unresponsiveWatches: boolean;
+  /** Responds to watches only when their wait is over, as if nothing had changed. */
   deafWatches: boolean;
 }
 
 type Body = Readonly<Record<string, unknown>>;
 
-/** The platform's store, kept in memory. */
+/** In-memory fake of the platform's store. */
 export class StandInStore {
   readonly faults: StoreFaults = {
     busy: false,
     silent: false,
     loseWriteAnswers: false,
     deafWatches: false,
-    silentWatches: false,
+    unresponsiveWatches: false,
   };
-  /** Calls answered, by method and path. */
+  /** Method and path of each call received. */
   readonly calls: string[] = [];
   private readonly rows = new Map<string, StoreRow>();
   private version = 1;
-  /** Watches from before this version are told that history is gone. */
-  private oldest = 0;
+  /** Watches after an older version get status 410: that history is no longer kept. */
+  private oldestVersion = 0;
   private readonly server: Server;
-  private readonly wakers = new Set<() => void>();
+  private readonly wakeCallbacks = new Set<() => void>();
   private readonly startMs = performance.now();
 
   constructor() {
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Starts to listen; returns the address. */
+  /** Starts listening; returns the address. */
   async listen(): Promise<string> {
     await new Promise<void>(resolve => {
       this.server.listen(0, '127.0.0.1', resolve);
@@ -71,7 +71,7 @@
     this.set({table, part: '', key, value: text, row_version: ++this.version});
   }
 
-  /** Reads a row as the operator does; nothing where there is none. */
+  /** Reads a row as the operator does; `undefined` if there is none. */
   get(table: string, key: string): unknown {
     const row = this.rows.get(`${table}||${key}`);
     return row?.value === undefined
@@ -79,7 +79,7 @@
       : JSON.parse(Buffer.from(row.value, 'base64').toString());
   }
 
-  /** Writes a row whose value is no record. */
+  /** Writes a row whose value need not be JSON. */
   putText(table: string, key: string, text: string): void {
     const value = Buffer.from(text).toString('base64');
     this.set({table, part: '', key, value, row_version: ++this.version});
@@ -91,9 +91,9 @@
     this.set({table, part: '', key, row_version, removed: true});
   }
 
-  /** Forgets what changed, so that watches have to read all again. */
+  /** Drops the history, so that watchers have to read the whole table again. */
   dropHistory(): void {
-    this.oldest = this.version;
+    this.oldestVersion = this.version;
     this.wake();
   }
 
@@ -105,8 +105,8 @@
   }
 
   private wake(): void {
-    for (const waker of this.wakers) {
-      waker();
+    for (const wakeCallback of this.wakeCallbacks) {
+      wakeCallback();
     }
   }
 
@@ -130,7 +130,7 @@
     if (url.pathname === '/rows-get') {
       answer(response, 200, this.read(url.searchParams));
     } else if (url.pathname === '/rows-feed') {
-      if (this.faults.silentWatches) {
+      if (this.faults.unresponsiveWatches) {
         return;
       }
       await this.watch(url.searchParams, response);
@@ -161,7 +161,7 @@
     const after = Number(query.get('after_revision'));
     const endMs = performance.now() + Number(query.get('wait_ms'));
     for (;;) {
-      if (after < this.oldest) {
+      if (after < this.oldestVersion) {
         answer(response, 410, {});
         return;
       }
@@ -181,12 +181,12 @@
     return new Promise(resolve => {
       const finish = () => {
         clearTimeout(timer);
-        this.wakers.delete(finish);
+        this.wakeCallbacks.delete(finish);
         resolve();
       };
       const timer = setTimeout(finish, ms);
       timer.unref();
-      this.wakers.add(finish);
+      this.wakeCallbacks.add(finish);
     });
   }
 
--- a/test/platform/stand_in/stand_in_system.ts
+++ b/test/platform/stand_in/stand_in_system.ts
@@ -11,16 +11,16 @@
 import {answerWith, Script, StandInServer} from './stand_in_server.js';
 import {StandInStore} from './stand_in_store.js';
 
-/** An answer as a caller got it. */
+/** A response as a caller received it. */
 export interface CallerView {
   readonly status: number;
   readonly headers: Readonly<Record<string, unknown>>;
   readonly body: string;
-  /** Whether the answer came to its end. */
+  /** Whether the response is complete. */
   readonly whole: boolean;
 }
 
-/** A call that the stand-in of the cloud took. */
+/** A call that the fake cloud received. */
 export interface CloudCall {
   readonly path: string;
   readonly body: Readonly<Record<string, unknown>>;
@@ -35,20 +35,20 @@
   readonly metrics: string;
 }
 
-/** Makes how a server answers. */
+/** Creates the script of a server. */
 export type CreateScript = (server: StandInServer, index: number) => Script;
 
 export const KEY = 'k1';
 const WAIT_STEP_MS = 10;
 
-/** A store, a cloud, two servers and hosts before them, all on loopback. */
-export class StandInSystem {
+/** A fake store, a fake cloud, two or more fake servers, and hosts, all on loopback. */
+export class TestSystem {
   readonly store = new StandInStore();
   readonly servers = [
     new StandInServer(answerWith('whole')),
     new StandInServer(answerWith('whole')),
   ];
-  /** Where each server listens. */
+  /** Address of each server. */
   readonly addresses: string[] = [];
   readonly cloudCalls: CloudCall[] = [];
   readonly hosts: RunningHost[] = [];
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Starts everything but the hosts, with a first configuration. */
+  /** Starts everything except the hosts, with a first configuration. */
   async start(): Promise<void> {
     this.storeAddress = await this.store.listen();
     await new Promise<void>(resolve => {
@@ -86,7 +86,7 @@
     this.putConfig({});
   }
 
-  /** Registers a server as it does itself. */
+  /** Registers a server in the store, as servers do themselves. */
   async register(
     id: string,
     address: string,
@@ -122,7 +122,7 @@
     return this.configVersion;
   }
 
-  /** Makes a route of the ledger's. */
+  /** Creates a route to the service `ledger`. */
   createRoute(
     prefix: string,
     overrides: Readonly<Record<string, unknown>>,
@@ -140,7 +140,7 @@
     };
   }
 
-  /** Starts a host and waits until it is ready. */
+  /** Starts a host; it may not be ready yet. */
   async startHost(
     name: string,
     seeds: readonly string[] = [],
@@ -172,8 +172,8 @@
 address = "${this.cloudAddress}"
 duties = ["usage"]
 `;
-    const settings = parsePlatformSettings(text).unwrapOrElse(mistake => {
-      throw new Error(mistake);
+    const settings = parsePlatformSettings(text).unwrapOrElse(error => {
+      throw new Error(error);
     });
     const clock = new SystemClock();
     const log = new SilentLog();
@@ -194,7 +194,7 @@
     return running;
   }
 
-  /** Starts hosts, and waits until all are ready. */
+  /** Starts hosts and waits until all are ready. */
   async startHosts(names: readonly string[]): Promise<RunningHost[]> {
     const started: RunningHost[] = [];
     for (const name of names) {
@@ -206,7 +206,7 @@
     return started;
   }
 
-  /** Has as many servers, each of which answers as a function says. */
+  /** Adds servers up to a number in total, and sets the script of each. */
   addServers(count: number, createScript: CreateScript): void {
     while (this.servers.length < count) {
       this.servers.push(new StandInServer(answerWith('whole')));
@@ -216,14 +216,14 @@
     }
   }
 
-  /** Waits until something holds. */
+  /** Waits until a condition holds. */
   async waitFor(holds: () => boolean | Promise<boolean>): Promise<void> {
     while (!(await holds())) {
       await new Promise(resolve => setTimeout(resolve, WAIT_STEP_MS));
     }
   }
 
-  /** Asks whether a host is ready. */
+  /** Returns whether a host reports that it is ready. */
   async isReady(running: RunningHost): Promise<boolean> {
     const {status} = await this.get(running.ready, '/readiness');
     return status === 200;
--- a/test/platform/start_bundle_test.ts
+++ b/test/platform/start_bundle_test.ts
@@ -5,7 +5,7 @@
 import {join} from 'node:path';
 import {expect} from 'chai';
 
-/** Says when it loads, and what it was told meanwhile. */
+/** Reports that it is loading, and that it has loaded once it gets input. */
 const PROGRAM = `(function () {
   process.stdout.write('loading');
   process.stdin.once('data', () => {
@@ -34,15 +34,15 @@
     rmSync(folder, {recursive: true});
   });
 
-  // Guards against a signal to reload that ends a process which still loads.
-  it('is not ended by a signal to reload', async () => {
+  // Guards against a reload signal that terminates the process while it is loading.
+  it('survives a reload signal', async () => {
     child = spawn(process.execPath, [join(folder, 'sedgefalld.cjs')]);
     const exit = once(child, 'exit');
     let text = '';
     child.stdout?.on('data', piece => (text += String(piece)));
     await once(child.stdout ?? child, 'data');
     child.kill('SIGHUP');
-    child.stdin?.write('go on\n');
+    child.stdin?.write('continue\n');
     const [code, signal] = await exit;
     expect([code, signal, text]).to.deep.equal([0, null, 'loadingloaded']);
   });
--- a/test/platform/store_feed_test.ts
+++ b/test/platform/store_feed_test.ts
@@ -13,11 +13,11 @@
   let address: string;
   let replica: RowReplica;
   let stopped: AbortController;
-  let rests: boolean;
+  let canSkip: boolean;
   let reads: number;
 
   beforeEach(async () => {
-    rests = false;
+    canSkip = false;
     reads = 0;
     store = new StandInStore();
     address = await store.listen();
@@ -42,7 +42,7 @@
       random: new SeededRandom(1),
       countReaders: () => 8,
       getMaxWaitMs: () => 1500,
-      rests: () => rests,
+      canSkip: () => canSkip,
       onResponse: () => undefined,
       onRead,
     });
@@ -60,38 +60,38 @@
     }
   }
 
-  it('asks nothing while others read, and reads once they do not', async () => {
+  it('sends no requests while other hosts read, and reads once they do not', async () => {
     await waitFor(() => reads > 0);
-    rests = true;
-    // What was asked for before is still answered.
+    canSkip = true;
+    // A request that was sent before still gets its response.
     await clock.sleep(1600);
     const calls = store.calls.length;
     store.put('servers', 'a', {state: 'ready'});
     await clock.sleep(400);
     expect(store.calls.length).to.equal(calls);
-    rests = false;
+    canSkip = false;
     await waitFor(() => replica.getText('a') !== undefined);
   });
 
-  it('hears changes as they come', async () => {
+  it('receives changes as they occur', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
   });
 
-  it('hears a server leave within three seconds of a channel that fell silent', async () => {
+  it('learns that a server leaves within three seconds, after a connection without a response', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
-    store.faults.silentWatches = true;
+    store.faults.unresponsiveWatches = true;
     const calls = store.calls.length;
     await waitFor(() => store.calls.length > calls);
-    store.faults.silentWatches = false;
+    store.faults.unresponsiveWatches = false;
     const startMs = clock.monotonicMs();
     store.put('servers', 'a', {state: 'draining'});
     await waitFor(() => replica.getText('a')?.includes('draining') === true);
     expect(clock.monotonicMs() - startMs).to.be.lessThan(3500);
   });
 
-  it('has peers asked about a removal that it does not believe yet', async () => {
+  it('marks a removal in doubt that it cannot confirm yet, so that peers are asked', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
     const known = replica.getNewsVersion();
@@ -106,22 +106,24 @@
     expect(replica.getNewsVersion()).to.equal(known);
   });
 
-  it('removes a row told by a peer that the table lacks, before it reports a reading', async () => {
+  it('removes a row reported by a peer that the table lacks, before it reports a reading', async () => {
     stopped.abort();
     stopped = new AbortController();
     store.put('servers', 'b', {state: 'ready'});
-    const told = new RowReplica({getSubstance: text => text});
-    told.addSnapshot([{key: 'a', version: 1, text: 'left'}], 1, 'peer');
+    const reported = new RowReplica({getSubstance: text => text});
+    reported.addSnapshot([{key: 'a', version: 1, text: 'left'}], 1, 'peer');
     const heldWhenRead: boolean[] = [];
-    startFeed(told, () => heldWhenRead.push(told.getText('a') !== undefined));
+    startFeed(reported, () =>
+      heldWhenRead.push(reported.getText('a') !== undefined),
+    );
     const startMs = clock.monotonicMs();
-    await waitFor(() => told.getText('a') === undefined);
+    await waitFor(() => reported.getText('a') === undefined);
     expect(clock.monotonicMs() - startMs).to.be.lessThan(4500);
     await waitFor(() => heldWhenRead.length > 0);
     expect(heldWhenRead[0]).to.equal(false);
   });
 
-  it('reads all again when the history is gone', async () => {
+  it('reads the whole table again if the history is no longer kept', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
     store.faults.deafWatches = true;
@@ -130,7 +132,7 @@
     await waitFor(() => replica.getText('b') !== undefined);
   });
 
-  it('asks seldom while other hosts read and tell, however much changes', async () => {
+  it('sends few requests while other hosts read and report, however much changes', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
     const calls = store.calls.length;
@@ -139,7 +141,7 @@
       store.put('servers', 'a', {state: 'ready', change});
       await clock.sleep(40);
     }
-    // Alone it would ask thirteen times.
+    // Without other hosts it would send thirteen requests.
     expect(store.calls.length - calls).to.be.at.most(5);
   });
 });
--- a/test/platform/wire_test.ts
+++ b/test/platform/wire_test.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {parsePrompt} from '../../platform/prompt_headers.js';
-import {findFault, keepForServer} from '../../platform/wire.js';
+import {findFault, selectForwardedHeaders} from '../../platform/wire.js';
 
 describe('wire', () => {
-  describe('keepForServer', () => {
-    it('leaves out what only the system may say, in any case', () => {
+  describe('selectForwardedHeaders', () => {
+    it('omits headers that only the system may set, in any letter case', () => {
       const raw = [
         ...['HOST', 'h', 'Request-Id', 'r', 'X-Own', '1'],
         ...['CREDENTIAL', 'k', 'Tenant', 't', 'kv-FROM', 'x', 'Hold', 'y'],
@@ -12,16 +12,16 @@
         ...['Expected-Instance', 'i', 'Expected-Version', '2'],
         ...['Request-Priority', '0', 'Deadline-Remaining', '9'],
       ];
-      const kept = keepForServer(raw).map(([name]) => name);
+      const kept = selectForwardedHeaders(raw).map(([name]) => name);
       expect(kept).to.deep.equal(['HOST', 'Request-Id', 'X-Own']);
     });
 
-    it('leaves out what concerns one channel', () => {
+    it('omits hop-by-hop headers', () => {
       const raw = [
         ...['Connection', 'close, X-Hop', 'X-Hop', '1', 'TE', 'trailers'],
         ...['Transfer-Encoding', 'chunked', 'Upgrade', 'h2c', 'X-Own', '1'],
       ];
-      const kept = keepForServer(raw).map(([name]) => name);
+      const kept = selectForwardedHeaders(raw).map(([name]) => name);
       expect(kept).to.deep.equal(['X-Own']);
     });
   });
@@ -48,7 +48,7 @@
       });
     }
 
-    it('finds nothing in a proper head', () => {
+    it('finds nothing in a valid head', () => {
       const raw = ['Host', 'h', 'Request-Id', '1', 'Content-Length', '3'];
       expect(findFault(raw)).to.equal(undefined);
     });
@@ -67,7 +67,7 @@
     });
 
     for (const text of ['x,1', '-1,2', '5', '']) {
-      it(`takes "${text}" for no prompt`, () => {
+      it(`parses "${text}" as no prompt`, () => {
         expect(parsePrompt(text, 'a:1').parts).to.deep.equal([]);
       });
     }
