--- a/test/platform/crashing_request_test.ts
+++ b/test/platform/crashing_request_test.ts
@@ -226,7 +226,7 @@
 
   /** Marks the server that runs a request as draining, and terminates it later. */
   async function reclaim(): Promise<void> {
-    const runs = ({seen}: StandInServer) => seen.length > 0;
+    const runs = ({requests}: StandInServer) => requests.length > 0;
     await system.waitFor(() => system.servers.some(runs));
     const index = system.servers.findIndex(runs);
     const server = system.servers[index];
@@ -236,7 +236,7 @@
       'draining',
     );
     await new Promise(resolve => setTimeout(resolve, NOTICE_MS));
-    server?.seen.splice(0);
+    server?.requests.splice(0);
     server?.stop();
     system.store.remove('servers', `i-${index}`);
   }
--- a/test/platform/limited_server_test.ts
+++ b/test/platform/limited_server_test.ts
@@ -147,9 +147,9 @@
   // states for all of them.
   it('gets no more than its limit from all hosts together', async () => {
     limits.setLimited(0, true);
-    const namedMs = performance.now();
+    const statedMs = performance.now();
     await sendFor(PROPAGATION_MS + 2 * WINDOW_MS);
-    const most = limits.countMaxInWindow(0, namedMs + PROPAGATION_MS);
+    const most = limits.countMaxInWindow(0, statedMs + PROPAGATION_MS);
     expect(most).to.be.at.most(MAX_PER_WINDOW);
   }).timeout(60_000);
 
--- a/test/platform/relay_host_test.ts
+++ b/test/platform/relay_host_test.ts
@@ -21,7 +21,7 @@
       expect(answer.status).to.equal(200);
       expect(answer.body).to.equal('whole');
       expect(answer.headers['server-signature']).to.equal('sig');
-      const seen = system.servers.flatMap(server => server.seen);
+      const seen = system.servers.flatMap(server => server.requests);
       expect(seen[0]?.line).to.equal('POST /a/x?y=z HTTP/1.1');
       expect(seen[0]?.headers.get('tenant')).to.equal('guild');
       expect(seen[0]?.headers.has('credential')).to.equal(false);
@@ -44,7 +44,9 @@
     it('with a large body get 413 and reach no server', async () => {
       const answer = await system.call(first, '/a/', {}, 'x'.repeat(2000));
       expect(answer.status).to.equal(413);
-      expect(system.servers.flatMap(server => server.seen)).to.deep.equal([]);
+      expect(system.servers.flatMap(server => server.requests)).to.deep.equal(
+        [],
+      );
     });
 
     it('whose response is cut off are cut off, and never completed', async () => {
@@ -95,11 +97,11 @@
         const state = await system.get(first.metrics, '/state');
         return state.body.includes('"id":"i-0","state":"gone"');
       });
-      const before = leaving?.seen.length;
+      const before = leaving?.requests.length;
       for (let count = 0; count < 10; count++) {
         await system.call(first, '/a/');
       }
-      expect(leaving?.seen.length).to.equal(before);
+      expect(leaving?.requests.length).to.equal(before);
     });
 
     it('is kept during an outage of the store, and afterwards until its entry may return', async () => {
@@ -153,7 +155,7 @@
       }
       const running = system.call(first, '/a/');
       await system.waitFor(() =>
-        system.servers.some(server => server.seen.length > 0),
+        system.servers.some(server => server.requests.length > 0),
       );
       const stopping = first.host.stop();
       expect(await system.isReady(first)).to.equal(false);
--- a/test/platform/rollout_test.ts
+++ b/test/platform/rollout_test.ts
@@ -95,9 +95,12 @@
     await startNewServers();
     await system.waitFor(() => getState() === 'rolled_back');
     await new Promise(resolve => setTimeout(resolve, 1000));
-    const seen = added.reduce((sum, server) => sum + server.seen.length, 0);
+    const seen = added.reduce((sum, server) => sum + server.requests.length, 0);
     await new Promise(resolve => setTimeout(resolve, 500));
-    const later = added.reduce((sum, server) => sum + server.seen.length, 0);
+    const later = added.reduce(
+      (sum, server) => sum + server.requests.length,
+      0,
+    );
     expect(later).to.equal(seen);
   }).timeout(30_000);
 
@@ -105,7 +108,7 @@
     void sendRequests();
     await startNewServers();
     await new Promise(resolve => setTimeout(resolve, 1000));
-    expect(added.flatMap(({seen}) => seen)).to.have.length(0);
+    expect(added.flatMap(({requests}) => requests)).to.have.length(0);
   }).timeout(30_000);
 });
 
--- a/test/platform/server_exchange_test.ts
+++ b/test/platform/server_exchange_test.ts
@@ -54,30 +54,33 @@
   describe('a request', () => {
     it('names the intended server and the remaining time', async () => {
       await read(await send());
-      const [seen] = server.seen;
+      const [seen] = server.requests;
       expect(seen?.line).to.equal('POST /a/b?c=d HTTP/1.1');
       expect(seen?.headers.get('expected-instance')).to.equal('i-1');
       expect(seen?.headers.get('deadline-remaining')).to.equal('987');
       expect(seen?.body).to.equal('body');
     });
 
-    for (const channel of ['new', 'reused'] as const) {
-      it(`is not written to a ${channel} connection if the server no longer accepts requests`, async () => {
-        if (channel === 'reused') {
+    for (const connection of ['new', 'reused'] as const) {
+      it(`is not written to a ${connection} connection if the server no longer accepts requests`, async () => {
+        if (connection === 'reused') {
           await read(await send());
         }
-        const before = server.seen.length;
-        const order = {
+        const before = server.requests.length;
+        const params = {
           ...createExchangeParams('late', address),
           maySend: () => false,
         };
-        const result = await exchange.send(order, new AbortController().signal);
+        const result = await exchange.send(
+          params,
+          new AbortController().signal,
+        );
         expect(result).to.deep.include({
           kind: ExchangeKind.NOT_RUN,
           notAccepting: true,
         });
         await read(await send());
-        expect(server.seen.length).to.equal(before + 1);
+        expect(server.requests.length).to.equal(before + 1);
       });
     }
 
@@ -295,7 +298,7 @@
       server.script = () => undefined;
       const controller = new AbortController();
       const result = send({signal: controller.signal});
-      while (server.seen.length === 0) {
+      while (server.requests.length === 0) {
         await new Promise(resolve => setImmediate(resolve));
       }
       controller.abort();
--- a/test/platform/stand_in/stand_in_server.ts
+++ b/test/platform/stand_in/stand_in_server.ts
@@ -16,7 +16,7 @@
  * rule of the protocol.
  */
 export class StandInServer {
-  readonly seen: SeenRequest[] = [];
+  readonly requests: SeenRequest[] = [];
   readonly sockets = new Set<Socket>();
   connectionCount = 0;
   private readonly server: Server;
@@ -55,7 +55,7 @@
           return;
         }
         received = received.subarray(parsed.length);
-        this.seen.push(parsed.request);
+        this.requests.push(parsed.request);
         this.script(socket, parsed.request);
       }
     });
