--- a/src/fakes/fake_engine.ts
+++ b/src/fakes/fake_engine.ts
@@ -19,37 +19,37 @@
 import {hashText} from '../random/index.js';
 import {Clock} from '../time/index.js';
 
-/** Speed and size of a fake engine. */
+/** Speed, capacity and initial state of a fake engine. */
 export interface FakeEngineOptions {
   readonly name: string;
-  /** Generations decoded at once. */
+  /** Number of generations that are decoded concurrently. */
   readonly capacity: number;
   /** Prompt tokens per second of prefill. */
   readonly prefillRate: number;
   /** Milliseconds between tokens. */
   readonly decodeMs: number;
-  /** Prefix blocks kept in the cache. */
+  /** Maximum number of prefix blocks in the cache. */
   readonly cacheBlocks: number;
-  /** Loaded at the start. */
+  /** Models that are loaded initially. */
   readonly models: readonly LoadedModel[];
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether a command with an outdated fencing token is rejected. */
   readonly checkFence: boolean;
 }
 
-/** What a fake engine has done, for checks and measurements. */
+/** Work that a fake engine has done, for checks and measurements. */
 export interface FakeEngineCounts {
   generations: number;
   tokens: number;
   /** Prompt and continuation tokens that had to be computed. */
   prefillTokens: number;
-  /** Prompt tokens found in the cache. */
+  /** Prompt and continuation tokens covered by the prefix cache or an imported KV cache. */
   cachedTokens: number;
-  /** Tokens already sent once that had to be computed again. */
+  /** Tokens computed again to resume a generation: its prompt and continuation, less the cached. */
   recomputedTokens: number;
 }
 
-/** A request waiting for a place in the batch. */
-interface Waiter {
+/** A generation that waits for a slot in the batch. */
+interface QueuedGeneration {
   readonly urgency: number;
   readonly order: number;
   readonly admit: () => void;
@@ -60,9 +60,9 @@
 const VOCABULARY = 1000;
 
 /**
- * Fake model engine: batches, queues by urgency, caches prefixes, exports KV.
- * Its tokens depend on the prompt and position only, so any whole answer can
- * be checked against `getExpectedTokens`.
+ * Fake model engine with batching, a queue ordered by urgency, a prefix cache and export of KV
+ * caches. Its tokens depend on the prompt and the position only, so any complete answer can be
+ * checked against `getExpectedTokens`.
  */
 export class FakeEngine implements ModelEngine {
   readonly counts: FakeEngineCounts = {
@@ -72,22 +72,22 @@
     cachedTokens: 0,
     recomputedTokens: 0,
   };
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether a command with an outdated fencing token is rejected. */
   checksFence: boolean;
-  /** Factor by which it is slower than its options say. */
+  /** Factor that multiplies the prefill and decode times of the options. */
   slowdown = 1;
   private running = 0;
-  /** When the prompt computed last will be done; monotonic ms. */
-  private prefillFreeMs = 0;
-  private waiterOrder = 0;
-  private waiters: Waiter[] = [];
+  /** Time at which all prefill so far is done, in ms of the monotonic clock. */
+  private prefillDoneMs = 0;
+  private nextQueueOrder = 0;
+  private queue: QueuedGeneration[] = [];
   private models: LoadedModel[];
   private highestFence = 0;
   private eventSequence = 0;
   private readonly cache = new Map<number, true>();
   private readonly cacheEvents: CacheEvent[] = [];
-  private readonly imported = new Set<string>();
-  private readonly exported = new Map<string, AbortController>();
+  private readonly importedHandles = new Set<string>();
+  private readonly abortByRequestId = new Map<string, AbortController>();
 
   constructor(
     readonly options: FakeEngineOptions,
@@ -98,34 +98,34 @@
   }
 
   async *generate(
-    order: GenerationOrder,
+    attempt: GenerationOrder,
     signal: AbortSignal,
   ): AsyncGenerator<Token> {
-    const model = String(order.body['model']);
+    const model = String(attempt.body['model']);
     if (!this.models.some(loaded => loaded.name === model)) {
       throw new ServerFailure(Reach.NOT_SENT, `model ${model} is not loaded`);
     }
-    const stopped = new AbortController();
-    this.exported.set(order.requestId, stopped);
-    const either = AbortSignal.any([signal, stopped.signal]);
-    await this.enter(order.urgency, either);
+    const exportAbort = new AbortController();
+    this.abortByRequestId.set(attempt.requestId, exportAbort);
+    const combinedSignal = AbortSignal.any([signal, exportAbort.signal]);
+    await this.acquireSlot(attempt.urgency, combinedSignal);
     try {
-      if (either.aborted) {
+      if (combinedSignal.aborted) {
         throw new ServerFailure(Reach.SENT, 'cancelled');
       }
       this.counts.generations++;
-      await this.prefill(order, either);
-      yield* this.decode(order, either);
+      await this.prefill(attempt, combinedSignal);
+      yield* this.decode(attempt, combinedSignal);
     } finally {
-      this.exported.delete(order.requestId);
-      this.leave();
+      this.abortByRequestId.delete(attempt.requestId);
+      this.releaseSlot();
     }
   }
 
   async getLoad(): Promise<Result<LoadReport, ServerFailure>> {
     return Result.ok({
       running: this.running,
-      waiting: this.waiters.length,
+      waiting: this.queue.length,
       capacity: this.options.capacity,
       prefillRate: this.options.prefillRate,
       decodeMs: this.options.decodeMs,
@@ -142,10 +142,13 @@
   async exportCache(
     requestId: string,
   ): Promise<Result<CacheExport, ServerFailure>> {
-    const running = this.exported.get(requestId);
+    const running = this.abortByRequestId.get(requestId);
     if (running === undefined) {
       return Result.err(
-        new ServerFailure(Reach.SENT, `no generation ${requestId} runs here`),
+        new ServerFailure(
+          Reach.SENT,
+          `generation ${requestId} is not running on this engine`,
+        ),
       );
     }
     running.abort();
@@ -153,90 +156,97 @@
   }
 
   async importCache(cache: CacheExport): Promise<Result<void, ServerFailure>> {
-    this.imported.add(cache.handle);
+    this.importedHandles.add(cache.handle);
     return Result.ok(undefined);
   }
 
-  async give(order: EngineOrder): Promise<Result<void, ServerFailure>> {
-    if (this.checksFence && order.fence < this.highestFence) {
+  async give(command: EngineOrder): Promise<Result<void, ServerFailure>> {
+    if (this.checksFence && command.fence < this.highestFence) {
       return Result.err(
         new ServerFailure(
           Reach.SENT,
-          `fence ${order.fence} is older than ${this.highestFence}`,
+          `fence ${command.fence} is lower than ${this.highestFence}`,
         ),
       );
     }
-    this.highestFence = Math.max(this.highestFence, order.fence);
-    this.execute(order);
+    this.highestFence = Math.max(this.highestFence, command.fence);
+    this.execute(command);
     return Result.ok(undefined);
   }
 
-  private execute(order: EngineOrder): void {
-    const others = this.models.filter(model => model.name !== order.model);
-    const current = this.models.find(model => model.name === order.model);
-    if (order.kind === EngineOrderKind.UNLOAD_MODEL) {
+  private execute(command: EngineOrder): void {
+    const others = this.models.filter(model => model.name !== command.model);
+    const current = this.models.find(model => model.name === command.model);
+    if (command.kind === EngineOrderKind.UNLOAD_MODEL) {
       this.models = others;
     }
-    if (order.kind === EngineOrderKind.LOAD_MODEL) {
+    if (command.kind === EngineOrderKind.LOAD_MODEL) {
       const adapters = current?.adapters ?? [];
-      const loaded = {name: order.model, version: order.version, adapters};
+      const loaded = {name: command.model, version: command.version, adapters};
       this.models = [...others, loaded];
     }
-    if (order.kind === EngineOrderKind.LOAD_ADAPTER && current !== undefined) {
-      const adapters = [...current.adapters, order.adapter ?? ''];
+    if (
+      command.kind === EngineOrderKind.LOAD_ADAPTER &&
+      current !== undefined
+    ) {
+      const adapters = [...current.adapters, command.adapter ?? ''];
       this.models = [...others, {...current, adapters}];
     }
   }
 
   private async prefill(
-    order: GenerationOrder,
+    attempt: GenerationOrder,
     signal: AbortSignal,
   ): Promise<void> {
-    const prompt = getPromptText(order.body);
+    const prompt = getPromptText(attempt.body);
     const blocks = hashPrefixBlocks(
-      String(order.body['model']),
+      String(attempt.body['model']),
       prompt,
       MAX_BLOCKS,
     );
-    const whole = estimateTokens(prompt) + order.continuation.length;
-    let cached = 0;
-    if (this.imported.delete(order.requestId)) {
-      cached = whole;
+    const totalTokens = estimateTokens(prompt) + attempt.continuation.length;
+    let cachedTokens = 0;
+    if (this.importedHandles.delete(attempt.requestId)) {
+      cachedTokens = totalTokens;
     } else {
-      cached = this.countCachedBlocks(blocks) * BLOCK_TOKENS;
-      if (order.continuation.length > 0) {
-        this.counts.recomputedTokens += whole - cached;
+      cachedTokens = this.countCachedBlocks(blocks) * BLOCK_TOKENS;
+      if (attempt.continuation.length > 0) {
+        this.counts.recomputedTokens += totalTokens - cachedTokens;
       }
     }
-    this.counts.cachedTokens += cached;
-    this.counts.prefillTokens += whole - cached;
+    this.counts.cachedTokens += cachedTokens;
+    this.counts.prefillTokens += totalTokens - cachedTokens;
     this.storeBlocks(blocks);
-    // One prompt is computed at a time; the next waits for it.
+    // Prompts are prefilled one at a time, so this one starts after those before it.
     const nowMs = this.clock.monotonicMs();
     const prefillMs =
-      ((whole - cached) * 1000 * this.slowdown) / this.options.prefillRate;
-    this.prefillFreeMs = Math.max(nowMs, this.prefillFreeMs) + prefillMs;
-    await this.clock.sleep(this.prefillFreeMs - nowMs, signal);
+      ((totalTokens - cachedTokens) * 1000 * this.slowdown) /
+      this.options.prefillRate;
+    this.prefillDoneMs = Math.max(nowMs, this.prefillDoneMs) + prefillMs;
+    await this.clock.sleep(this.prefillDoneMs - nowMs, signal);
   }
 
   private async *decode(
-    order: GenerationOrder,
+    attempt: GenerationOrder,
     signal: AbortSignal,
   ): AsyncGenerator<Token> {
-    const expected = getExpectedTokens(order.body);
+    const expected = getExpectedTokens(attempt.body);
     for (
-      let position = order.continuation.length;
+      let position = attempt.continuation.length;
       position < expected.length;
       position++
     ) {
       await this.clock.sleep(this.options.decodeMs * this.slowdown, signal);
       if (signal.aborted) {
-        throw new ServerFailure(Reach.SENT, 'the generation was stopped');
+        throw new ServerFailure(
+          Reach.SENT,
+          'generation stopped: its request was cancelled or its cache exported',
+        );
       }
       this.counts.tokens++;
       const last = position === expected.length - 1;
       yield {
-        requestId: order.requestId,
+        requestId: attempt.requestId,
         position,
         text: expected[position] ?? '',
         ...(last ? {finishReason: 'stop'} : {}),
@@ -244,20 +254,20 @@
     }
   }
 
-  private enter(urgency: number, signal: AbortSignal): Promise<void> {
+  private acquireSlot(urgency: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted || this.running < this.options.capacity) {
       this.running++;
       return Promise.resolve();
     }
     return new Promise(resolve => {
-      const waiter = {urgency, order: this.waiterOrder++, admit: resolve};
-      this.waiters.push(waiter);
+      const waiter = {urgency, order: this.nextQueueOrder++, admit: resolve};
+      this.queue.push(waiter);
       const cancel = () => {
-        if (!this.waiters.includes(waiter)) {
+        if (!this.queue.includes(waiter)) {
           return;
         }
-        this.waiters = this.waiters.filter(other => other !== waiter);
-        // `leave` will be called for it, so count it in.
+        this.queue = this.queue.filter(other => other !== waiter);
+        // `releaseSlot` will be called for this generation too, so count it as running.
         this.running++;
         resolve();
       };
@@ -265,19 +275,19 @@
     });
   }
 
-  private leave(): void {
+  private releaseSlot(): void {
     this.running--;
     if (this.running >= this.options.capacity) {
       return;
     }
-    let next = this.waiters[0];
-    for (const waiter of this.waiters) {
+    let next = this.queue[0];
+    for (const waiter of this.queue) {
       if (next === undefined || waiter.urgency < next.urgency) {
         next = waiter;
       }
     }
     if (next !== undefined) {
-      this.waiters = this.waiters.filter(other => other !== next);
+      this.queue = this.queue.filter(other => other !== next);
       this.running++;
       next.admit();
     }
@@ -322,7 +332,7 @@
 }
 
 /**
- * Tells the tokens every fake engine gives for a body.
+ * Returns the tokens that every fake engine generates for a request body.
  * @param body - Body of a completion request.
  */
 export function getExpectedTokens(
--- a/src/fakes/fake_engine_app.ts
+++ b/src/fakes/fake_engine_app.ts
@@ -7,12 +7,12 @@
 } from '../backend/index.js';
 import {Clock} from '../time/index.js';
 import {FakeEngine} from './fake_engine.js';
-import {BackendFault, backendFaultSchema, Fault} from './fault_switches.js';
-import {withFault} from './faulty_handler.js';
+import {BackendFault, backendFaultSchema, Fault} from './fault_settings.js';
+import {injectFault} from './inject_fault.js';
 
 const MAX_BODY = '16mb';
 
-/** HTTP interface of a fake engine, with faults switchable while it runs. */
+/** HTTP interface of a fake engine, with faults that can be changed while it runs. */
 export class FakeEngineApp {
   private faults: BackendFault = backendFaultSchema.parse({});
 
@@ -21,7 +21,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Builds the HTTP interface. */
+  /** Creates the express app with all routes. */
   createApp(): Express {
     const app = express();
     app.use(express.json({limit: MAX_BODY}));
@@ -39,19 +39,19 @@
   }
 
   private addGenerations(app: Express): void {
-    const state = () => ({
+    const getFaultState = () => ({
       fault: this.faults.requests,
       slowMs: this.faults.slowMs,
     });
     app.post(
       '/v1/completions',
-      withFault(this.clock, state, (request, response) =>
+      injectFault(this.clock, getFaultState, (request, response) =>
         this.stream(GenerationFormat.TEXT, request, response),
       ),
     );
     app.post(
       '/v1/chat/completions',
-      withFault(this.clock, state, (request, response) =>
+      injectFault(this.clock, getFaultState, (request, response) =>
         this.stream(GenerationFormat.CHAT, request, response),
       ),
     );
@@ -86,9 +86,9 @@
       response.json({});
     });
     app.post('/orders', async (request, response) => {
-      const given = await this.engine.give(request.body as EngineOrder);
-      if (given.isErr) {
-        response.status(409).json({detail: given.error.message});
+      const executed = await this.engine.give(request.body as EngineOrder);
+      if (executed.isErr) {
+        response.status(409).json({detail: executed.error.message});
         return;
       }
       response.json({});
@@ -100,20 +100,26 @@
     request: Request,
     response: Response,
   ): Promise<void> {
-    const order = readOrder(format, request.body as Record<string, unknown>);
-    const gone = new AbortController();
-    response.on('close', () => gone.abort());
+    const attempt = parseAttempt(
+      format,
+      request.body as Record<string, unknown>,
+    );
+    const disconnected = new AbortController();
+    response.on('close', () => disconnected.abort());
     response.type('text/event-stream');
     response.flushHeaders();
     let sent = 0;
     try {
-      for await (const token of this.engine.generate(order, gone.signal)) {
+      for await (const token of this.engine.generate(
+        attempt,
+        disconnected.signal,
+      )) {
         response.write(
           `data: ${JSON.stringify(this.toChunk(format, token))}\n\n`,
         );
         sent++;
         if (this.faults.breakAfterTokens === sent) {
-          await this.breakOff(response);
+          await this.interruptStream(response);
           return;
         }
       }
@@ -123,7 +129,7 @@
     }
   }
 
-  private async breakOff(response: Response): Promise<void> {
+  private async interruptStream(response: Response): Promise<void> {
     if (this.faults.breakSilently) {
       await new Promise(resolve => response.on('close', resolve));
       return;
@@ -137,17 +143,19 @@
       format === GenerationFormat.CHAT
         ? {index: 0, delta: {content: token.text}, finish_reason}
         : {index: 0, text: token.text, finish_reason};
-    const crossed = this.faults.crossAnswers ? 'another-request' : undefined;
+    const wrongRequestId = this.faults.crossAnswers
+      ? 'another-request'
+      : undefined;
     return {
       id: token.requestId,
-      request_id: crossed ?? token.requestId,
+      request_id: wrongRequestId ?? token.requestId,
       position: token.position,
       choices: [choice],
     };
   }
 }
 
-function readOrder(
+function parseAttempt(
   format: GenerationFormat,
   body: Record<string, unknown>,
 ): GenerationOrder {
--- a/src/fakes/fake_platform.ts
+++ b/src/fakes/fake_platform.ts
@@ -3,8 +3,8 @@
 import {HostState, ListedHost, ReclaimNotice} from '../host_list/index.js';
 import {MemoryTableService, Step} from '../table/index.js';
 import {Clock} from '../time/index.js';
-import {PlatformFault, platformFaultSchema} from './fault_switches.js';
-import {withFault} from './faulty_handler.js';
+import {PlatformFault, platformFaultSchema} from './fault_settings.js';
+import {injectFault} from './inject_fault.js';
 
 const MAX_BODY = '16mb';
 
@@ -18,22 +18,24 @@
   state: z.enum(['live', 'leaving']).default('live'),
 });
 
-/** A past state of the host list, kept so that the list can lag. */
-interface HostListState {
+/** An earlier version of the host list, kept to publish the list with a delay. */
+interface PreviousHostList {
+  /** Time at which it was replaced, in ms of the monotonic clock. */
   readonly atMs: number;
   readonly hosts: readonly ListedHost[];
 }
 
-/** Calls that the fake platform has served. */
+/** Number of calls that the fake platform has served. */
 export interface PlatformCounts {
   tableReads: number;
   tableWrites: number;
   objectReads: number;
   objectWrites: number;
+  /** Instances that the cloud has started. */
   starts: number;
 }
 
-/** Small fake of the platform: table, objects, host list and cloud API. */
+/** Fake of the platform: table, object store, host list and cloud API. */
 export class FakePlatform {
   readonly table = new MemoryTableService();
   readonly counts: PlatformCounts = {
@@ -45,14 +47,14 @@
   };
   private faults: PlatformFault = platformFaultSchema.parse({});
   private hosts: readonly ListedHost[] = [];
-  private readonly past: HostListState[] = [];
+  private readonly previousHostLists: PreviousHostList[] = [];
   private readonly notices = new Map<string, ReclaimNotice>();
   private readonly objects = new Map<string, Buffer>();
-  private readonly starts = new Map<string, string>();
+  private readonly instanceByToken = new Map<string, string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Builds the HTTP interface. */
+  /** Creates the express app with all routes. */
   createApp(): Express {
     const app = express();
     app.use(express.json({limit: MAX_BODY}));
@@ -66,13 +68,13 @@
   }
 
   private addTable(app: Express): void {
-    const state = () => ({
+    const getFaultState = () => ({
       fault: this.faults.table,
       slowMs: this.faults.slowMs,
     });
     app.get(
       '/table/rows/:key',
-      withFault(this.clock, state, async (request, response) => {
+      injectFault(this.clock, getFaultState, async (request, response) => {
         this.counts.tableReads++;
         const row = await this.table.get(String(request.params['key']));
         const found = row.unwrapOr(undefined);
@@ -81,7 +83,7 @@
     );
     app.get(
       '/table/rows',
-      withFault(this.clock, state, async (request, response) => {
+      injectFault(this.clock, getFaultState, async (request, response) => {
         this.counts.tableReads++;
         const prefix = String(request.query['prefix'] ?? '');
         response.json((await this.table.list(prefix)).unwrapOr([]));
@@ -89,7 +91,7 @@
     );
     app.post(
       '/table/transactions',
-      withFault(this.clock, state, async (request, response) => {
+      injectFault(this.clock, getFaultState, async (request, response) => {
         this.counts.tableWrites++;
         const {steps} = request.body as {steps: readonly Step[]};
         const commit = await this.table.transact(steps);
@@ -103,13 +105,13 @@
   }
 
   private addObjects(app: Express): void {
-    const state = () => ({
+    const getFaultState = () => ({
       fault: this.faults.objects,
       slowMs: this.faults.slowMs,
     });
     app.get(
       '/objects/:key',
-      withFault(this.clock, state, async (request, response) => {
+      injectFault(this.clock, getFaultState, async (request, response) => {
         this.counts.objectReads++;
         const found = this.objects.get(String(request.params['key']));
         if (found === undefined) {
@@ -121,7 +123,7 @@
     );
     app.put(
       '/objects/:key',
-      withFault(this.clock, state, async (request, response) => {
+      injectFault(this.clock, getFaultState, async (request, response) => {
         this.counts.objectWrites++;
         const key = String(request.params['key']);
         this.objects.set(key, request.body as Buffer);
@@ -131,19 +133,19 @@
   }
 
   private addHosts(app: Express): void {
-    const state = () => ({
+    const getFaultState = () => ({
       fault: this.faults.hostList,
       slowMs: this.faults.slowMs,
     });
     app.get(
       '/platform/hosts',
-      withFault(this.clock, state, async (_request, response) => {
+      injectFault(this.clock, getFaultState, async (_request, response) => {
         response.json(this.getPublishedHosts());
       }),
     );
     app.get(
       '/platform/notices',
-      withFault(this.clock, state, async (_request, response) => {
+      injectFault(this.clock, getFaultState, async (_request, response) => {
         response.json([...this.notices.values()]);
       }),
     );
@@ -165,12 +167,12 @@
         response.status(409).json({reason: 'no capacity'});
         return;
       }
-      const known = this.starts.get(token);
+      const known = this.instanceByToken.get(token);
       if (known === undefined) {
         this.counts.starts++;
-        this.starts.set(token, `instance-${this.counts.starts}`);
+        this.instanceByToken.set(token, `instance-${this.counts.starts}`);
       }
-      response.json({instance: this.starts.get(token)});
+      response.json({instance: this.instanceByToken.get(token)});
     });
   }
 
@@ -185,7 +187,10 @@
   }
 
   private setHosts(hosts: readonly ListedHost[]): void {
-    this.past.push({atMs: this.clock.monotonicMs(), hosts: this.hosts});
+    this.previousHostLists.push({
+      atMs: this.clock.monotonicMs(),
+      hosts: this.hosts,
+    });
     this.hosts = hosts;
   }
 
@@ -201,7 +206,7 @@
 
   private getPublishedHosts(): readonly ListedHost[] {
     const asOfMs = this.clock.monotonicMs() - this.faults.hostListLagMs;
-    for (const state of this.past) {
+    for (const state of this.previousHostLists) {
       if (state.atMs > asOfMs) {
         return state.hosts;
       }
--- a/src/fakes/fake_service.ts
+++ b/src/fakes/fake_service.ts
@@ -8,19 +8,19 @@
 } from '../backend/index.js';
 import {Clock} from '../time/index.js';
 
-/** How a fake service behaves. */
+/** Behaviour of a fake service. */
 export interface FakeServiceOptions {
-  /** Time one call takes, in milliseconds. */
+  /** Duration of a call, in milliseconds. */
   readonly serviceMs: number;
-  /** Whether a second call under the same key repeats the first answer. */
+  /** Whether a repeated call with the same key returns the first answer without running again. */
   readonly deduplicates: boolean;
-  /** Whether it can be asked for the answer given under a key. */
+  /** Whether the answer to a key can be looked up. */
   readonly answersLookups: boolean;
 }
 
-/** Fake plain service that counts how often each key ran. */
+/** Fake plain service that counts how often the call of each key ran. */
 export class FakeService implements PlainService {
-  /** Runs by Idempotency-Key. */
+  /** Number of runs by Idempotency-Key, or by request id for calls without a key. */
   readonly runs = new Map<string, number>();
   private readonly answers = new Map<string, ServiceAnswer>();
   private bookings = 0;
@@ -36,7 +36,7 @@
     if (this.options.deduplicates && earlier !== undefined) {
       return Result.ok({...earlier, requestId: call.requestId});
     }
-    // The effect comes first: a call cut off while it waits has still run.
+    // The effect precedes the delay, so a call that is interrupted during it has still run.
     if (call.method !== 'GET') {
       this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
       this.bookings++;
@@ -51,7 +51,12 @@
     key: string,
   ): Promise<Result<ServiceAnswer | undefined, ServerFailure>> {
     if (!this.options.answersLookups) {
-      return Result.err(new ServerFailure(Reach.SENT, 'no lookups here'));
+      return Result.err(
+        new ServerFailure(
+          Reach.SENT,
+          'this service does not support lookups of outcomes',
+        ),
+      );
     }
     return Result.ok(this.answers.get(key));
   }
--- a/src/fakes/fake_service_app.ts
+++ b/src/fakes/fake_service_app.ts
@@ -2,10 +2,10 @@
 import {ServiceAnswer} from '../backend/index.js';
 import {Clock} from '../time/index.js';
 import {FakeService} from './fake_service.js';
-import {BackendFault, backendFaultSchema} from './fault_switches.js';
-import {withFault} from './faulty_handler.js';
+import {BackendFault, backendFaultSchema} from './fault_settings.js';
+import {injectFault} from './inject_fault.js';
 
-/** HTTP interface of a fake service, with faults switchable while it runs. */
+/** HTTP interface of a fake service, with faults that can be changed while it runs. */
 export class FakeServiceApp {
   private faults: BackendFault = backendFaultSchema.parse({});
 
@@ -14,7 +14,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Builds the HTTP interface. */
+  /** Creates the express app with all routes. */
   createApp(): Express {
     const app = express();
     app.put('/faults', express.json(), (request, response) => {
@@ -34,22 +34,25 @@
         response.status(outcome.isErr ? 501 : 404).end();
         return;
       }
-      this.answer(request, response, outcome.value);
+      this.sendAnswer(request, response, outcome.value);
     });
-    const state = () => ({
+    const getFaultState = () => ({
       fault: this.faults.requests,
       slowMs: this.faults.slowMs,
     });
     app.use(
       express.raw({type: () => true, limit: '16mb'}),
-      withFault(this.clock, state, (request, response) =>
-        this.call(request, response),
+      injectFault(this.clock, getFaultState, (request, response) =>
+        this.handleCall(request, response),
       ),
     );
     return app;
   }
 
-  private async call(request: Request, response: Response): Promise<void> {
+  private async handleCall(
+    request: Request,
+    response: Response,
+  ): Promise<void> {
     const key = request.header('idempotency-key');
     const answer = await this.service.send({
       requestId: request.header('x-request-id') ?? '',
@@ -60,20 +63,20 @@
       ...(key === undefined ? {} : {key}),
     });
     if (answer.isOk) {
-      this.answer(request, response, answer.value);
+      this.sendAnswer(request, response, answer.value);
     }
   }
 
-  private answer(
+  private sendAnswer(
     request: Request,
     response: Response,
     answer: ServiceAnswer,
   ): void {
-    const echoed = this.faults.crossAnswers
+    const answeredRequestId = this.faults.crossAnswers
       ? 'another-request'
       : request.header('x-request-id');
-    if (echoed !== undefined) {
-      response.setHeader('x-request-id', echoed);
+    if (answeredRequestId !== undefined) {
+      response.setHeader('x-request-id', answeredRequestId);
     }
     response
       .status(answer.status)
--- a/src/fakes/fault_switches.ts
+++ b/src/fakes/fault_settings.ts
@@ -1,20 +1,20 @@
 import {z} from 'zod';
 
-/** How a faulty part answers. */
+/** Faults that can be injected into the handling of a request. */
 export const Fault = {
   NONE: 'none',
-  /** Refuses every request with status 503 before doing anything. */
+  /** Closes the connection without executing the request. */
   DOWN: 'down',
-  /** Answers after a delay. */
+  /** Executes the request after a delay. */
   SLOW: 'slow',
-  /** Does what is asked, then closes the connection without answering. */
+  /** Executes the request, then closes the connection without a response. */
   ANSWER_LOST: 'answer-lost',
-  /** Reads the request, does nothing and never answers. */
+  /** Accepts the request but neither executes nor answers it. */
   SILENT: 'silent',
 } as const;
 export type Fault = (typeof Fault)[keyof typeof Fault];
 
-/** Faults of the fake platform, switchable while it runs. */
+/** Faults of the fake platform; can be changed while it runs. */
 export const platformFaultSchema = z
   .object({
     table: z.enum(Object.values(Fault)).default(Fault.NONE),
@@ -22,27 +22,27 @@
     hostList: z.enum(Object.values(Fault)).default(Fault.NONE),
     /** Delay of `slow`, in milliseconds. */
     slowMs: z.number().min(0).default(500),
-    /** Age of the published host list, in milliseconds. */
+    /** Delay with which changes of the host list are published, in milliseconds. */
     hostListLagMs: z.number().min(0).default(0),
-    /** Whether the cloud refuses to start hosts. */
+    /** Whether the cloud rejects requests to start instances. */
     refuseStarts: z.boolean().default(false),
   })
   .strict();
 export type PlatformFault = z.infer<typeof platformFaultSchema>;
 
-/** Faults of a fake back end, switchable while it runs. */
+/** Faults of a fake backend server; can be changed while it runs. */
 export const backendFaultSchema = z
   .object({
     requests: z.enum(Object.values(Fault)).default(Fault.NONE),
     /** Delay of `slow`, in milliseconds. */
     slowMs: z.number().min(0).default(500),
-    /** Tokens after which each stream breaks off; 0 for never. */
+    /** Number of tokens after which each stream is interrupted; 0 for never. */
     breakAfterTokens: z.number().int().min(0).default(0),
-    /** Whether streams go silent instead of breaking off. */
+    /** Whether an interrupted stream keeps its connection open without sending anything. */
     breakSilently: z.boolean().default(false),
-    /** Whether answers carry another request's id. */
+    /** Whether responses carry the id of another request. */
     crossAnswers: z.boolean().default(false),
-    /** Whether orders with an old fencing number are refused. */
+    /** Whether commands with an outdated fencing token are rejected. */
     checkFence: z.boolean().default(true),
   })
   .strict();
--- a/src/fakes/index.ts
+++ b/src/fakes/index.ts
@@ -1,5 +1,5 @@
-/** Small fakes of the platform and of back ends, for tests and trials. */
-export * from './fault_switches.js';
+/** Small fakes of the platform and of backend servers, for tests and trials. */
+export * from './fault_settings.js';
 export {FakeEngine, getExpectedTokens} from './fake_engine.js';
 export type {FakeEngineOptions} from './fake_engine.js';
 export {FakeEngineApp} from './fake_engine_app.js';
--- a/src/fakes/faulty_handler.ts
+++ b/src/fakes/inject_fault.ts
@@ -1,26 +1,27 @@
 import {Request, RequestHandler, Response} from 'express';
 import {Clock} from '../time/index.js';
-import {Fault} from './fault_switches.js';
+import {Fault} from './fault_settings.js';
 
-/** What a fault needs to know when a request comes in. */
+/** The fault to inject into a request. */
 export interface FaultState {
   readonly fault: Fault;
+  /** Delay of the fault `slow`, in milliseconds. */
   readonly slowMs: number;
 }
 
 /**
- * Wraps a handler so that a switched fault takes effect around it.
- * @param clock - Used for delays.
- * @param getState - Returns the fault in force now.
- * @param handle - The healthy behaviour: returns status and JSON body.
+ * Wraps a request handler so that the current fault is injected into each request.
+ * @param clock - Clock for delays.
+ * @param getFaultState - Returns the current fault.
+ * @param handle - Handles a request without faults; it writes the response.
  */
-export function withFault(
+export function injectFault(
   clock: Clock,
-  getState: () => FaultState,
+  getFaultState: () => FaultState,
   handle: (request: Request, response: Response) => Promise<void>,
 ): RequestHandler {
   return async (request, response) => {
-    const {fault, slowMs} = getState();
+    const {fault, slowMs} = getFaultState();
     if (fault === Fault.DOWN) {
       request.socket.destroy();
       return;
@@ -32,7 +33,7 @@
       await clock.sleep(slowMs);
     }
     if (fault === Fault.ANSWER_LOST) {
-      // The handler runs against a response that nobody will see.
+      // The handler runs, but its response closes the connection instead of being sent.
       request.socket.on('error', () => undefined);
       response.end = (() => {
         request.socket.destroy();
--- a/src/fakes/serve_app.ts
+++ b/src/fakes/serve_app.ts
@@ -4,7 +4,7 @@
 
 /** A listening HTTP server. */
 export interface ServedApp {
-  /** Port it listens on. */
+  /** Port that the server listens on. */
   readonly port: number;
   /** Stops listening and closes every connection. */
   stop(): Promise<void>;
@@ -12,8 +12,8 @@
 
 /**
  * Serves an express app on the loopback address.
- * @param app - The app.
- * @param port - Port; 0 for any free one.
+ * @param app - The app to serve.
+ * @param port - Port to listen on; 0 for any free port.
  */
 export async function serveApp(app: Express, port: number): Promise<ServedApp> {
   const server: Server = createServer(app);
