--- a/src/bin/slopes.ts
+++ b/src/bin/slopes.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** Program: measures the slopes and benches of docs/CAPACITY.md. */
+/** Program: runs the measurements for docs/CAPACITY.md and prints one line for each. */
 import {formatLine} from '../log/index.js';
 import {
   measureDaemon,
   measureLeaving,
   measureLimits,
   measureSlopes,
-  measureToday,
+  measureIdleAtCurrentSize,
 } from '../slopes/index.js';
 
 for (const line of [...measureSlopes(), ...measureLimits()]) {
@@ -18,4 +18,4 @@
 for (const line of await measureDaemon()) {
   process.stdout.write(`${formatLine(line)}\n`);
 }
-process.stdout.write(`${formatLine(await measureToday())}\n`);
+process.stdout.write(`${formatLine(await measureIdleAtCurrentSize())}\n`);
--- a/src/slopes/index.ts
+++ b/src/slopes/index.ts
@@ -1,4 +1,7 @@
-/** Slopes and benches that docs/CAPACITY.md works with. */
-export {measureDaemon, measureToday} from './measure_daemon.js';
+/**
+ * Measurements for docs/CAPACITY.md: slopes (how costs grow with the size of the system) and
+ * benchmarks of a running system.
+ */
+export {measureDaemon, measureIdleAtCurrentSize} from './measure_daemon.js';
 export {measureLimits} from './measure_limits.js';
 export {measureLeaving, measureSlopes} from './measure_slopes.js';
--- a/src/slopes/measure_daemon.ts
+++ b/src/slopes/measure_daemon.ts
@@ -9,11 +9,12 @@
 const STREAMS = 100;
 const OPEN_STREAMS = 1000;
 const IDLE_MS = 5000;
-/** Time until the books are spread over the hosts, in milliseconds. */
+/** Time for the books to be distributed over the hosts, in milliseconds. */
 const SETTLE_MS = 15_000;
+/** Unit of the CPU times in `/proc/PID/stat`. */
 const TICKS_PER_SECOND = 100;
 
-const PLAN: TrialPlan = {
+const BENCH_PLAN: TrialPlan = {
   hosts: [
     {name: 'tac-entry-1', dataCentre: 'tac-hall'},
     {name: 'tac-entry-2', dataCentre: 'tac-hall'},
@@ -36,14 +37,14 @@
   ],
 };
 
-const CENTRES = ['tac-hall', 'pdx-hall', 'geg-hall', 'bli-hall'];
+const DATA_CENTRES = ['tac-hall', 'pdx-hall', 'geg-hall', 'bli-hall'];
 
-/** The size of today: four data centres, 8 hosts, 8 engines, 4 services. */
-const TODAY: TrialPlan = {
-  hosts: CENTRES.flatMap(dataCentre =>
+/** A system of the current size: 4 data centres, 8 hosts, 8 engines, 4 services. */
+const CURRENT_SIZE_PLAN: TrialPlan = {
+  hosts: DATA_CENTRES.flatMap(dataCentre =>
     [1, 2].map(index => ({name: `${dataCentre}-entry-${index}`, dataCentre})),
   ),
-  servers: CENTRES.flatMap(dataCentre => [
+  servers: DATA_CENTRES.flatMap(dataCentre => [
     ...[1, 2].map(index => ({
       name: `${dataCentre}-model-${index}`,
       dataCentre,
@@ -61,9 +62,9 @@
   ]),
 };
 
-/** Control costs of one host in a system of today's size that serves nothing. */
-export async function measureToday(): Promise<LogMembers> {
-  const system = new TrialSystem(TODAY);
+/** Measures CPU time and memory of one host in an idle system of the current size. */
+export async function measureIdleAtCurrentSize(): Promise<LogMembers> {
+  const system = new TrialSystem(CURRENT_SIZE_PLAN);
   try {
     await system.start();
     await applyRecords(system);
@@ -74,9 +75,9 @@
   }
 }
 
-/** Benches the running daemon over loopback against the fakes called directly. */
+/** Benchmarks the daemon over loopback and compares it with direct calls to the fakes. */
 export async function measureDaemon(): Promise<LogMembers[]> {
-  const system = new TrialSystem(PLAN);
+  const system = new TrialSystem(BENCH_PLAN);
   try {
     await system.start();
     await applyRecords(system);
@@ -122,15 +123,15 @@
   await delay(3000);
 }
 
-/** Control costs of a host that serves nothing. */
+/** Measures CPU time and memory of a host that serves no requests. */
 async function measureIdle(system: TrialSystem): Promise<LogMembers> {
   const pid = getPid(system);
-  const before = await readCpuSeconds(pid);
+  const cpuSecondsBefore = await readCpuSeconds(pid);
   await delay(IDLE_MS);
-  const used = (await readCpuSeconds(pid)) - before;
+  const cpuSeconds = (await readCpuSeconds(pid)) - cpuSecondsBefore;
   return {
     bench: 'idle-host',
-    cpu_percent_of_core: ((used * 100_000) / IDLE_MS).toFixed(2),
+    cpu_percent_of_core: ((cpuSeconds * 100_000) / IDLE_MS).toFixed(2),
     memory_mb: await readMemoryMb(pid),
   };
 }
@@ -143,12 +144,18 @@
   const service = system.servers[1]?.url ?? '';
   for (let index = 0; index < BOOKINGS; index++) {
     direct.push(
-      await time(() => got.post(`${service}/bids`, {json: {lot: index}})),
+      await measureDurationMs(() =>
+        got.post(`${service}/bids`, {json: {lot: index}}),
+      ),
+    );
+    minted.push(
+      await measureDurationMs(() => caller.call('bids', '/bids', {lot: index})),
     );
-    minted.push(await time(() => caller.call('bids', '/bids', {lot: index})));
     const headers = {'idempotency-key': `bench-${index}`};
     keyed.push(
-      await time(() => caller.call('bids', '/bids', {lot: index}, headers)),
+      await measureDurationMs(() =>
+        caller.call('bids', '/bids', {lot: index}, headers),
+      ),
     );
   }
   return [
@@ -159,21 +166,21 @@
 
 async function measureFirstTokens(system: TrialSystem): Promise<LogMembers[]> {
   const engine = system.servers[0]?.url ?? '';
-  const through: number[] = [];
+  const viaHost: number[] = [];
   const direct: number[] = [];
   const host = system.hosts[0]?.callersUrl ?? '';
   for (let index = 0; index < STREAMS; index++) {
     const prompt = `lot ${index}`;
     direct.push(
-      await timeFirstByte(`${engine}/v1/completions`, {
+      await measureFirstByteMs(`${engine}/v1/completions`, {
         model: 'provenance-8b',
         prompt,
         max_tokens: 2,
         request_id: `direct-${index}`,
       }),
     );
-    through.push(
-      await timeFirstByte(`${host}/v1/completions`, {
+    viaHost.push(
+      await measureFirstByteMs(`${host}/v1/completions`, {
         model: 'dossier',
         prompt,
         max_tokens: 2,
@@ -181,14 +188,14 @@
       }),
     );
   }
-  return [formatLatency('first-token', through, direct)];
+  return [formatLatency('first-token', viaHost, direct)];
 }
 
-/** Tokens a second of processor time, with many streams at once. */
+/** Measures tokens per second, and per second of CPU time, of 200 concurrent streams. */
 async function measureThroughput(system: TrialSystem): Promise<LogMembers> {
   const caller = createCaller(system);
   const pid = getPid(system);
-  const before = await readCpuSeconds(pid);
+  const cpuSecondsBefore = await readCpuSeconds(pid);
   const startMs = performance.now();
   const results = await Promise.all(
     Array.from({length: 200}, (_unused, index) =>
@@ -196,13 +203,15 @@
     ),
   );
   const seconds = (performance.now() - startMs) / 1000;
-  const used = (await readCpuSeconds(pid)) - before;
+  const cpuSeconds = (await readCpuSeconds(pid)) - cpuSecondsBefore;
   const tokens = results.reduce((sum, result) => sum + result.tokens, 0);
   return {
     bench: 'throughput',
     tokens_per_s: Math.round(tokens / seconds),
-    tokens_per_core_s: Math.round(tokens / Math.max(used, 0.001)),
-    requests_per_core_s: Math.round(results.length / Math.max(used, 0.001)),
+    tokens_per_core_s: Math.round(tokens / Math.max(cpuSeconds, 0.001)),
+    requests_per_core_s: Math.round(
+      results.length / Math.max(cpuSeconds, 0.001),
+    ),
     complete: results.filter(result => result.complete).length,
   };
 }
@@ -210,37 +219,37 @@
 async function measureOpenStreams(system: TrialSystem): Promise<LogMembers> {
   const caller = createCaller(system);
   const pid = getPid(system);
-  const before = await readMemoryMb(pid);
+  const memoryBeforeMb = await readMemoryMb(pid);
   const streams = Array.from({length: OPEN_STREAMS}, (_unused, index) =>
     caller.stream('dossier', `open ${index}`, 800),
   );
   await delay(2500);
-  const during = await readMemoryMb(pid);
+  const memoryDuringMb = await readMemoryMb(pid);
   const results = await Promise.all(streams);
   return {
     bench: 'open-streams',
     streams: OPEN_STREAMS,
-    memory_before_mb: before,
-    memory_mb: during,
+    memory_before_mb: memoryBeforeMb,
+    memory_mb: memoryDuringMb,
     complete: results.filter(result => result.complete).length,
   };
 }
 
 function formatLatency(
   bench: string,
-  through: readonly number[],
+  viaHost: readonly number[],
   direct: readonly number[],
 ): LogMembers {
   return {
     bench,
-    runs: through.length,
+    runs: viaHost.length,
     direct_p50_ms: percentile(direct, 0.5),
-    through_p50_ms: percentile(through, 0.5),
+    through_p50_ms: percentile(viaHost, 0.5),
     added_p50_ms: (
-      Number(percentile(through, 0.5)) - Number(percentile(direct, 0.5))
+      Number(percentile(viaHost, 0.5)) - Number(percentile(direct, 0.5))
     ).toFixed(2),
     added_p99_ms: (
-      Number(percentile(through, 0.99)) - Number(percentile(direct, 0.99))
+      Number(percentile(viaHost, 0.99)) - Number(percentile(direct, 0.99))
     ).toFixed(2),
   };
 }
@@ -250,13 +259,15 @@
   return (sorted[Math.ceil(sorted.length * share) - 1] ?? 0).toFixed(2);
 }
 
-async function time(act: () => Promise<unknown>): Promise<number> {
+async function measureDurationMs(
+  operation: () => Promise<unknown>,
+): Promise<number> {
   const startMs = performance.now();
-  await act();
+  await operation();
   return performance.now() - startMs;
 }
 
-function timeFirstByte(url: string, json: unknown): Promise<number> {
+function measureFirstByteMs(url: string, json: unknown): Promise<number> {
   const startMs = performance.now();
   return new Promise((resolve, reject) => {
     const stream = got.stream.post(url, {
@@ -278,7 +289,7 @@
   return system.hosts[0]?.process.getPid() ?? 0;
 }
 
-/** Processor seconds of a process so far, from the kernel's accounts. */
+/** Returns the CPU time that a process has used, in seconds, from `/proc`. */
 async function readCpuSeconds(pid: number): Promise<number> {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
--- a/src/slopes/measure_limits.ts
+++ b/src/slopes/measure_limits.ts
@@ -7,7 +7,7 @@
 import {SeededRandom} from '../random/index.js';
 import {SystemClock} from '../time/index.js';
 
-/** Servers in all, and how many of them name a limit. */
+/** Total number of servers, and how many of them state a limit. */
 const SIZES = [
   {servers: 72, limited: 0},
   {servers: 72, limited: 72},
@@ -20,7 +20,10 @@
 const REPEATS = 200;
 const LIMIT = 2.6;
 
-/** Measures what limits of servers cost: a choice, and the word of all of them. */
+/**
+ * Measures the cost of server limits: the time of the queries before a server is chosen, and the
+ * size of a message with all limits.
+ */
 export function measureLimits(): LogMembers[] {
   return SIZES.map(measureSize);
 }
@@ -35,37 +38,37 @@
   const fleet = createFleet(servers);
   const limits = createLimits();
   for (let index = 0; index < limited; index++) {
-    limits.addAnswer(getName(index), Result.ok(Maybe.just(LIMIT)), 0);
+    limits.addAnswer(createServerId(index), Result.ok(Maybe.just(LIMIT)), 0);
   }
   const startMs = performance.now();
-  for (let turn = 0; turn < REPEATS; turn++) {
-    choose(fleet, limits);
+  for (let repeat = 0; repeat < REPEATS; repeat++) {
+    runChoiceQueries(fleet, limits);
   }
   const spentMs = performance.now() - startMs;
-  const word = new Encoder().encode(limits.listSince(0));
+  const message = new Encoder().encode(limits.listSince(0));
   return {
     slope: 'limits',
     servers,
     limited,
     choice_us: ((spentMs * 1000) / REPEATS).toFixed(1),
-    first_word_bytes: limited === 0 ? 0 : word.length,
+    first_word_bytes: limited === 0 ? 0 : message.length,
   };
 }
 
-/** What a request asks of servers and limits before one is chosen. */
-function choose(fleet: Fleet, limits: ServerLimits): void {
+/** Runs the queries on servers and limits that precede the choice of a server for a request. */
+function runChoiceQueries(fleet: Fleet, limits: ServerLimits): void {
   if (!limits.hasAny()) {
     fleet.listKnowledge(SERVICE, {parts: []});
     return;
   }
-  const withheld = new Set(listWithheld(fleet, limits));
+  const excluded = new Set(listExcluded(fleet, limits));
   fleet.listKnowledge(SERVICE, {
     parts: [],
-    allows: ({id}) => !withheld.has(id),
+    allows: ({id}) => !excluded.has(id),
   });
 }
 
-function listWithheld(fleet: Fleet, limits: ServerLimits): readonly string[] {
+function listExcluded(fleet: Fleet, limits: ServerLimits): readonly string[] {
   if (fleet.hasReady(SERVICE, ({id}) => !limits.isLimited(id))) {
     return limits.listUsedUp();
   }
@@ -82,7 +85,7 @@
     listPeerLoads: () => [],
   });
   for (let index = 0; index < count; index++) {
-    const id = getName(index);
+    const id = createServerId(index);
     fleet.set(
       {
         id,
@@ -112,6 +115,6 @@
   });
 }
 
-function getName(index: number): string {
+function createServerId(index: number): string {
   return `i-${index}@1770000000000`;
 }
--- a/src/slopes/measure_slopes.ts
+++ b/src/slopes/measure_slopes.ts
@@ -21,7 +21,7 @@
 import {chooseServer, ServerDirectory} from '../routing/index.js';
 import {SystemClock} from '../time/index.js';
 
-/** Hosts in all, and per data centre, at each size that is measured. */
+/** Hosts and data centres of each measured size. */
 const MEMBER_SIZES = [
   {hosts: 8, centres: 4},
   {hosts: 32, centres: 8},
@@ -34,16 +34,24 @@
 const ENTRY_SIZES = [1000, 10_000, 100_000] as const;
 const REPEATS = 200;
 const HEARTBEATS_PER_SECOND = 1;
-/** Details are sent again this often, and on changes. */
+/** Interval at which host details are sent again; they are also sent on changes. */
 const RESEND_SECONDS = 60;
-/** As in the daemon's heartbeats. */
+/**
+ * Hosts up to which heartbeats to other data centres carry engine loads too. Same value as in
+ * `src/daemon/heartbeats.ts`.
+ */
 const SMALL_SYSTEM_HOSTS = 32;
 const REPLY_BYTES = 45;
-const LOADS_POLLED_SHARE = 2;
-const SERVERS_IN_ALL = 1800;
+/** Hosts that poll the load of each engine. Same value as in `src/daemon/load_poller.ts`. */
+const POLLERS_PER_SERVER = 2;
+/** Servers of the largest measured system (350 hosts); smaller ones have proportionally fewer. */
+const MAX_SERVERS = 1800;
 const clock = new SystemClock();
 
-/** Measures every slope that docs/CAPACITY.md works with. */
+/**
+ * Measures how the costs of membership, routing, configuration, generations and journal entries
+ * grow, for docs/CAPACITY.md.
+ */
 export function measureSlopes(): LogMembers[] {
   return [
     ...MEMBER_SIZES.map(measureMembership),
@@ -54,15 +62,17 @@
   ];
 }
 
-/** Bytes and processor time of the heartbeats of one host. */
+/** Measures bytes sent and CPU time for the heartbeats of one host. */
 function measureMembership(size: {hosts: number; centres: number}): LogMembers {
   const perCentre = Math.ceil(size.hosts / size.centres);
   const servers = Math.min(
-    SERVERS_IN_ALL,
-    Math.ceil((size.hosts * SERVERS_IN_ALL) / 350),
+    MAX_SERVERS,
+    Math.ceil((size.hosts * MAX_SERVERS) / 350),
+  );
+  const localServers = Math.ceil(servers / size.centres);
+  const polledPerHost = Math.ceil(
+    (localServers * POLLERS_PER_SERVER) / perCentre,
   );
-  const serversHere = Math.ceil(servers / size.centres);
-  const polled = Math.ceil((serversHere * LOADS_POLLED_SHARE) / perCentre);
   const hosts = Array.from({length: size.hosts}, (_unused, index) => ({
     host: `host-${index}`,
     dataCentre: `centre-${index % size.centres}`,
@@ -72,16 +82,18 @@
     {host: 'host-0', dataCentre: 'centre-0'},
     hosts.slice(1),
   );
-  const here = hosts.filter(host => host.dataCentre === 'centre-0');
-  const pulse = createHeartbeat(polled);
-  const farBytes = encodeFrame(wrap(createHeartbeat(0))).length;
-  const detail = createDetail(here, polled);
-  const pulseBytes = encodeFrame(wrap(pulse)).length;
-  const detailBytes = encodeFrame(wrap({...pulse, detail})).length;
+  const localHosts = hosts.filter(host => host.dataCentre === 'centre-0');
+  const heartbeat = createHeartbeat(polledPerHost);
+  const remoteHeartbeatBytes = encodeFrame(
+    wrapInRequest(createHeartbeat(0)),
+  ).length;
+  const detail = createDetail(localHosts, polledPerHost);
+  const heartbeatBytes = encodeFrame(wrapInRequest(heartbeat)).length;
+  const detailBytes = encodeFrame(wrapInRequest({...heartbeat, detail})).length;
   const membership = createMembership();
   const startMs = performance.now();
-  for (let turn = 0; turn < REPEATS; turn++) {
-    const sent = encodeFrame(wrap(pulse));
+  for (let repeat = 0; repeat < REPEATS; repeat++) {
+    const sent = encodeFrame(wrapInRequest(heartbeat));
     const received = new Encoder({useRecords: false}).decode(
       sent.subarray(4),
     ) as {body: {body?: unknown; status: unknown}};
@@ -89,31 +101,35 @@
     membership.addStatus({...IDENTITY, ...status});
   }
   const cpuMs = (performance.now() - startMs) / REPEATS;
-  // Each link carries this host's heartbeat and its reply to the peer's.
-  const beats = links.length * HEARTBEATS_PER_SECOND;
-  const details = (links.length * detailBytes) / RESEND_SECONDS;
-  const near = links.filter(link => link.dataCentre === 'centre-0').length;
-  const far = links.length - near;
-  const small = size.hosts <= SMALL_SYSTEM_HOSTS;
-  const pulses = small
-    ? links.length * pulseBytes
-    : near * pulseBytes + far * farBytes;
+  // Over each link this host sends its heartbeat and a reply to the peer's heartbeat.
+  const heartbeatsPerSecond = links.length * HEARTBEATS_PER_SECOND;
+  const detailBytesPerSecond = (links.length * detailBytes) / RESEND_SECONDS;
+  const localLinks = links.filter(
+    link => link.dataCentre === 'centre-0',
+  ).length;
+  const remoteLinks = links.length - localLinks;
+  const isSmall = size.hosts <= SMALL_SYSTEM_HOSTS;
+  const heartbeatBytesPerRound = isSmall
+    ? links.length * heartbeatBytes
+    : localLinks * heartbeatBytes + remoteLinks * remoteHeartbeatBytes;
   const bytesPerSecond =
-    HEARTBEATS_PER_SECOND * (pulses + links.length * REPLY_BYTES) + details;
+    HEARTBEATS_PER_SECOND *
+      (heartbeatBytesPerRound + links.length * REPLY_BYTES) +
+    detailBytesPerSecond;
   return {
     slope: 'membership',
     hosts: size.hosts,
     links: links.length,
-    heartbeat_bytes: pulseBytes,
-    far_heartbeat_bytes: farBytes,
+    heartbeat_bytes: heartbeatBytes,
+    far_heartbeat_bytes: remoteHeartbeatBytes,
     detail_bytes: detailBytes,
     sent_kb_per_s: (bytesPerSecond / 1000).toFixed(1),
     cpu_ms_per_heartbeat: cpuMs.toFixed(3),
-    cpu_percent_of_core: ((cpuMs * beats) / 10).toFixed(2),
+    cpu_percent_of_core: ((cpuMs * heartbeatsPerSecond) / 10).toFixed(2),
   };
 }
 
-function wrap(status: unknown): unknown {
+function wrapInRequest(status: unknown): unknown {
   return {kind: 'request', id: 1, body: {kind: 'heartbeat', status}};
 }
 
@@ -123,12 +139,12 @@
   incarnation: 'tpfkv517gyp5j',
 };
 
-function createHeartbeat(polled: number): Heartbeat {
+function createHeartbeat(loadCount: number): Heartbeat {
   return {
     state: 'live',
     revision: 1234,
     centreRevision: 1234,
-    loads: Array.from({length: polled}, (_unused, index) => [
+    loads: Array.from({length: loadCount}, (_unused, index) => [
       `server-${index}`,
       200,
       12,
@@ -144,7 +160,7 @@
 
 function createDetail(
   hosts: readonly {host: string; dataCentre: string; address: string}[],
-  polled: number,
+  engineCount: number,
 ): HostDetail {
   return {
     address: '10.0.0.1:7100',
@@ -158,7 +174,7 @@
       state: 'live',
     })),
     leaving: [{host: 'server-17', ageMs: 1000, remainingMs: 20_000}],
-    engines: Array.from({length: polled}, (_unused, index) => ({
+    engines: Array.from({length: engineCount}, (_unused, index) => ({
       server: `server-${index}`,
       capacity: 32,
       prefillRate: 12_000,
@@ -182,9 +198,9 @@
   });
 }
 
-/** Time of one routing decision, and memory, by servers known. */
+/** Measures the time of one routing decision, and memory, by number of known servers. */
 function measureRouting(count: number): LogMembers {
-  const before = getHeapBytes();
+  const heapBytesBefore = getHeapBytes();
   const directory = new ServerDirectory(
     {
       createEngine: () => undefined as never,
@@ -212,16 +228,16 @@
       0,
     );
   }
-  const bytes = getHeapBytes() - before;
+  const bytes = getHeapBytes() - heapBytesBefore;
   const random = new SeededRandom(1);
   const names = servers.map(server => server.name);
   const blocks = Array.from({length: 64}, (_unused, index) => index);
   const startMs = performance.now();
-  for (let turn = 0; turn < REPEATS; turn++) {
-    const known = directory.listKnowledge(names, blocks);
+  for (let repeat = 0; repeat < REPEATS; repeat++) {
+    const candidates = directory.listKnowledge(names, blocks);
     chooseServer(
       {promptTokens: 1000, expectedTokens: 100, excluded: new Set()},
-      known,
+      candidates,
       random,
     );
   }
@@ -247,9 +263,9 @@
   };
 }
 
-/** Time to step to a revision, and memory, by records. */
+/** Measures the time to apply a revision, and memory, by number of records. */
 function measureConfiguration(count: number): LogMembers {
-  const before = getHeapBytes();
+  const heapBytesBefore = getHeapBytes();
   const store = new ConfigurationStore(new SilentLog());
   const records = Array.from({length: count}, (_unused, index) => ({
     kind: RecordKind.SERVER,
@@ -266,7 +282,7 @@
     changeId: 'slope',
   }));
   store.apply({after: 0, revision: 1, records}, 'slope');
-  const bytes = getHeapBytes() - before;
+  const bytes = getHeapBytes() - heapBytesBefore;
   const startMs = performance.now();
   const steps = 5;
   for (let revision = 2; revision < 2 + steps; revision++) {
@@ -282,9 +298,9 @@
   };
 }
 
-/** Memory of open generations with 200 tokens each. */
+/** Measures the memory of open generations with 200 tokens each. */
 function measureGenerations(count: number): LogMembers {
-  const before = getHeapBytes();
+  const heapBytesBefore = getHeapBytes();
   const open: Generation[] = [];
   for (let index = 0; index < count; index++) {
     const generation = new Generation(
@@ -306,7 +322,7 @@
     }
     open.push(generation);
   }
-  const bytes = getHeapBytes() - before;
+  const bytes = getHeapBytes() - heapBytesBefore;
   return {
     slope: 'generations',
     open: open.length,
@@ -315,9 +331,9 @@
   };
 }
 
-/** Memory and record size of entries with small answers. */
+/** Measures the memory and record size of journal entries with small answers. */
 function measureEntries(count: number): LogMembers {
-  const before = getHeapBytes();
+  const heapBytesBefore = getHeapBytes();
   const entries = new Map<string, unknown>();
   for (let index = 0; index < count; index++) {
     const key = `north-house/bid-${index}`;
@@ -336,7 +352,7 @@
       },
     });
   }
-  const bytes = getHeapBytes() - before;
+  const bytes = getHeapBytes() - heapBytesBefore;
   const last = entries.get(`north-house/bid-${count - 1}`);
   return {
     slope: 'entries',
@@ -347,7 +363,10 @@
   };
 }
 
-/** Leaving hosts cost next to nothing; kept here so that the claim is run. */
+/**
+ * Measures the bytes that leaving hosts add to a heartbeat. This cost is expected to be
+ * negligible; the measurement verifies that.
+ */
 export function measureLeaving(count: number): LogMembers {
   const leaving = new LeavingHosts(clock, new SilentLog());
   leaving.addNotices(
