--- a/src/bin/quickstart.ts
+++ b/src/bin/quickstart.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: shows the whole system at work on this machine, and ends by itself. */
+/** Program: demonstrates a small system on this machine while a server is reclaimed, then exits. */
 import {execFile} from 'node:child_process';
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -38,7 +38,7 @@
   ],
 };
 
-/** What the callers of the trial have seen. */
+/** Results that the callers have received. */
 interface Tally {
   streamed: number;
   booked: number;
@@ -47,27 +47,29 @@
 
 const system = new TrialSystem(PLAN);
 try {
-  say('starting a platform, 5 back ends and 2 entry hosts as processes');
+  printStep(
+    'starting a fake platform, 5 fake backend servers and 2 entry hosts as processes',
+  );
   await system.start();
   await applyRecords();
   const tally: Tally = {streamed: 0, booked: 0, lost: 0};
-  say(`sending ${STREAMS} streams and ${BOOKINGS} bookings`);
-  const work = [...startStreams(tally), ...startBookings(tally)];
+  printStep(`sending ${STREAMS} streams and ${BOOKINGS} bookings`);
+  const requests = [...startStreams(tally), ...startBookings(tally)];
   await delay(600);
-  say(`the platform takes tac-model-1 back, with ${NOTICE_MS} ms of notice`);
-  await system.giveNotice('tac-model-1', NOTICE_MS);
-  const gone = delay(NOTICE_MS).then(() =>
-    system.servers[0]?.process.end('SIGKILL'),
+  printStep(`the platform reclaims tac-model-1 with ${NOTICE_MS} ms notice`);
+  await system.publishNotice('tac-model-1', NOTICE_MS);
+  const terminated = delay(NOTICE_MS).then(() =>
+    system.servers[0]?.process.terminate('SIGKILL'),
   );
-  await Promise.all(work);
-  await gone;
+  await Promise.all(requests);
+  await terminated;
   await showStatus();
-  const doubled = await countDoubled();
+  const duplicateCount = await countDuplicateRuns();
   const answered = tally.streamed + tally.booked;
   process.stdout.write(
-    `quickstart answered=${answered} streamed=${tally.streamed} bookings=${tally.booked} doubled=${doubled} lost=${tally.lost}\n`,
+    `quickstart answered=${answered} streamed=${tally.streamed} bookings=${tally.booked} doubled=${duplicateCount} lost=${tally.lost}\n`,
   );
-  process.exitCode = doubled > 0 || tally.lost > 0 ? 1 : 0;
+  process.exitCode = duplicateCount > 0 || tally.lost > 0 ? 1 : 0;
 } finally {
   await system.stop();
 }
@@ -92,7 +94,7 @@
   };
 }
 
-/** Writes the records to a file and applies it with the tool. */
+/** Writes the records to a file and applies it with the command-line tool. */
 async function applyRecords(): Promise<void> {
   const records = [
     ...system.listServerRecords(),
@@ -120,14 +122,16 @@
   const folder = await mkdtemp(join(tmpdir(), 'sedgefall-records-'));
   const file = join(folder, 'records.json');
   await writeFile(file, JSON.stringify(records, undefined, 2));
-  say('applying servers, a customer and two deployments with the tool');
+  printStep(
+    'applying servers, a customer and two deployments with sedgefall apply',
+  );
   process.stdout.write(await runTool(['apply', file]));
   await rm(folder, {recursive: true});
   await delay(1200);
 }
 
 async function showStatus(): Promise<void> {
-  say('state of the system as the tool shows it');
+  printStep('servers as shown by sedgefall status');
   process.stdout.write(await runTool(['status', 'servers']));
 }
 
@@ -155,12 +159,12 @@
       tally.streamed++;
     } else {
       tally.lost++;
-      say(`stream ${index} failed with status ${result.status}`);
+      printStep(`stream ${index} failed with status ${result.status}`);
     }
   });
 }
 
-/** Sends every booking twice, through both hosts at once, as retries do. */
+/** Sends every booking twice with the same key, through both hosts concurrently, like a retry. */
 function startBookings(tally: Tally): Promise<void>[] {
   return Array.from({length: BOOKINGS}, async (_unused, index) => {
     await delay(index * 20);
@@ -174,7 +178,9 @@
       tally.booked++;
     } else {
       tally.lost++;
-      say(`booking ${index}: ${JSON.stringify(results.map(r => r.body))}`);
+      printStep(
+        `booking ${index} failed: ${JSON.stringify(results.map(r => r.body))}`,
+      );
     }
   });
 }
@@ -184,8 +190,8 @@
   return new TrialCaller(host?.callersUrl ?? '', CALLER_KEY);
 }
 
-/** Counts keys that ran more than once, over all services. */
-async function countDoubled(): Promise<number> {
+/** Counts the keys whose booking ran more than once on all services together. */
+async function countDuplicateRuns(): Promise<number> {
   const runs = new Map<string, number>();
   for (const server of system.servers) {
     if (server.plan.kind !== 'service') {
@@ -198,14 +204,14 @@
       runs.set(key, (runs.get(key) ?? 0) + count);
     }
   }
-  let doubled = 0;
+  let duplicateCount = 0;
   for (const count of runs.values()) {
-    doubled += count > 1 ? 1 : 0;
+    duplicateCount += count > 1 ? 1 : 0;
   }
-  return doubled;
+  return duplicateCount;
 }
 
-function say(text: string): void {
+function printStep(text: string): void {
   process.stdout.write(`quickstart: ${text}\n`);
 }
 
--- a/src/trial/find_free_ports.ts
+++ b/src/trial/find_free_ports.ts
@@ -1,14 +1,14 @@
 import {createServer} from 'node:net';
 
 /**
- * Ports that are tried: below those that systems give to outgoing connections,
- * so that none of these takes a port between its finding and its use.
+ * Range of the ports that are tried. It lies below the ephemeral ports of operating systems, so
+ * that no outgoing connection takes a port after it was found free and before it is bound.
  */
 const FIRST_PORT = 12_000;
 const LAST_PORT = 30_000;
 
-/** Ports already returned in this process; callers may not have bound them yet. */
-const allocatedPorts = new Set<number>();
+/** Ports already tried in this process; those returned may not be bound yet. */
+const triedPorts = new Set<number>();
 
 /** Picks random free loopback ports; never returns the same port twice per process. */
 export async function findFreePorts(count: number): Promise<number[]> {
@@ -16,10 +16,10 @@
   while (found.size < count) {
     const span = LAST_PORT - FIRST_PORT;
     const port = FIRST_PORT + Math.floor(Math.random() * span);
-    if (allocatedPorts.has(port)) {
+    if (triedPorts.has(port)) {
       continue;
     }
-    allocatedPorts.add(port);
+    triedPorts.add(port);
     if (await isFree(port)) {
       found.add(port);
     }
@@ -29,7 +29,7 @@
 
 function isFree(port: number): Promise<boolean> {
   return new Promise(resolve => {
-    // Whoever connects to the probe meant somebody else.
+    // A connection to the probe is meant for another server on this port.
     const probe = createServer(socket => socket.destroy());
     probe.once('error', () => resolve(false));
     probe.listen(port, '127.0.0.1', () => probe.close(() => resolve(true)));
--- a/src/trial/trial_caller.ts
+++ b/src/trial/trial_caller.ts
@@ -1,24 +1,24 @@
 import {got} from 'got';
 import {readEventStream} from '../backend/index.js';
 
-/** What came of one streamed generation. */
+/** Result of one streamed generation. */
 export interface StreamResult {
   readonly status: number;
   readonly text: string;
   readonly tokens: number;
-  /** Whether the end mark was seen. */
+  /** Whether the stream ended with `[DONE]`. */
   readonly complete: boolean;
   readonly requestId: string;
 }
 
-/** What came of one service call. */
+/** Result of one service call. */
 export interface CallResult {
   readonly status: number;
   readonly body: unknown;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** A caller of the system, with one customer's key. */
+/** A client of the system that uses one customer's key. */
 export class TrialCaller {
   constructor(
     readonly url: string,
@@ -26,10 +26,10 @@
   ) {}
 
   /**
-   * Streams a text completion to its end.
+   * Requests a streamed text completion and reads it until the stream ends.
    * @param deployment - Deployment to use.
    * @param prompt - Prompt text.
-   * @param maxTokens - Tokens wanted.
+   * @param maxTokens - Number of tokens to request.
    */
   async stream(
     deployment: string,
@@ -61,19 +61,19 @@
         return {status, text, tokens, complete: true, requestId};
       }
       const chunk = JSON.parse(data) as {choices?: {text: string}[]};
-      const piece = chunk.choices?.[0]?.text ?? '';
-      text += piece;
-      tokens += piece === '' ? 0 : 1;
+      const tokenText = chunk.choices?.[0]?.text ?? '';
+      text += tokenText;
+      tokens += tokenText === '' ? 0 : 1;
     }
     return {status, text, tokens, complete: false, requestId};
   }
 
   /**
-   * Calls a plain service.
+   * Sends a POST request to a plain service.
    * @param deployment - Deployment to use.
    * @param path - Path below the service's root.
-   * @param json - Body.
-   * @param headers - Further headers, such as the Idempotency-Key.
+   * @param json - Request body.
+   * @param headers - Additional headers, such as Idempotency-Key.
    */
   async call(
     deployment: string,
--- a/src/trial/trial_system.ts
+++ b/src/trial/trial_system.ts
@@ -3,10 +3,10 @@
 import {join} from 'node:path';
 import {got} from 'got';
 import {hashKey} from '../caller/index.js';
-import {TrialProcess} from './child_process.js';
+import {TrialProcess} from './trial_process.js';
 import {findFreePorts} from './find_free_ports.js';
 
-/** Key of the operator in trials. */
+/** Operator key of every trial system. */
 export const OPERATOR_KEY = 'trial-operator-key';
 const PEER_KEY = 'trial-shared-peer-key';
 
@@ -17,7 +17,7 @@
   readonly kind: 'engine' | 'service';
   /** Name of the plain service; empty for an engine. */
   readonly service: string;
-  /** Further arguments of the fake back end. */
+  /** Additional arguments of the fake backend server. */
   readonly args: readonly string[];
 }
 
@@ -27,15 +27,15 @@
   readonly dataCentre: string;
 }
 
-/** What a trial consists of. */
+/** Hosts, servers and settings of a trial system. */
 export interface TrialPlan {
   readonly hosts: readonly TrialHost[];
   readonly servers: readonly TrialServer[];
-  /** Lines of TOML tables that replace defaults, by table. */
+  /** Lines that are added to the TOML settings of every host, by table. */
   readonly settings?: Readonly<Record<string, readonly string[]>>;
 }
 
-/** An entry host that runs, with its addresses. */
+/** A started entry host with its addresses. */
 export interface RunningHost {
   readonly plan: TrialHost;
   readonly callersUrl: string;
@@ -45,7 +45,7 @@
   process: TrialProcess;
 }
 
-/** A backend server that runs, with its address. */
+/** A started backend server with its address. */
 export interface RunningServer {
   readonly plan: TrialServer;
   readonly address: string;
@@ -55,7 +55,7 @@
 
 const PORTS_PER_HOST = 3;
 
-/** Runs a whole small system as separate processes on loopback. */
+/** Runs a complete small system as separate processes on loopback. */
 export class TrialSystem {
   readonly hosts: RunningHost[] = [];
   readonly servers: RunningServer[] = [];
@@ -65,7 +65,7 @@
 
   constructor(private readonly plan: TrialPlan) {}
 
-  /** Starts every process and waits until all serve. */
+  /** Starts every process and waits until all are ready. */
   async start(): Promise<void> {
     this.folder = await mkdtemp(join(tmpdir(), 'sedgefall-trial-'));
     const {hosts, servers} = this.plan;
@@ -77,31 +77,31 @@
       this.startServer(server, next());
     }
     for (const host of hosts) {
-      await this.prepareHost(host, [next(), next(), next()]);
+      await this.startHost(host, [next(), next(), next()]);
     }
     await this.publishHosts();
     await Promise.all(this.servers.map(run => run.process.waitForReady()));
     await Promise.all(this.hosts.map(run => run.process.waitForReady()));
   }
 
-  /** Ends every process and removes the settings files. */
+  /** Kills every process and removes the settings files. */
   async stop(): Promise<void> {
     const processes = [
       ...this.hosts.map(run => run.process),
       ...this.servers.map(run => run.process),
     ];
-    await Promise.all(processes.map(process => process.end('SIGKILL')));
-    await this.platform?.end('SIGKILL');
+    await Promise.all(processes.map(process => process.terminate('SIGKILL')));
+    await this.platform?.terminate('SIGKILL');
     await rm(this.folder, {recursive: true, force: true});
   }
 
-  /** Starts an entry host again, as a new process with the same settings. */
+  /** Starts a new process for an entry host, with the same settings; returns when it is ready. */
   async restartHost(host: RunningHost): Promise<void> {
     host.process = startDaemon(host.plan.name, host.settingsFile);
     await host.process.waitForReady();
   }
 
-  /** Returns the documents that describe the servers to the system. */
+  /** Returns the configuration records of the backend servers. */
   listServerRecords(): Record<string, unknown>[] {
     return this.servers.map(run => ({
       schemaVersion: 2,
@@ -116,7 +116,7 @@
     }));
   }
 
-  /** Writes a record through an entry host; returns the answer's body. */
+  /** Creates a record through the first entry host; returns the response body. */
   async apply(record: Record<string, unknown>): Promise<unknown> {
     const host = this.hosts[0];
     const {kind, name} = record;
@@ -133,19 +133,19 @@
       .json();
   }
 
-  /** Publishes a reclaim notice. */
-  async giveNotice(host: string, noticeMs: number): Promise<void> {
+  /** Publishes a notice that the platform reclaims a host after `noticeMs` milliseconds. */
+  async publishNotice(host: string, noticeMs: number): Promise<void> {
     await got.post(`${this.platformUrl}/platform/notices`, {
       json: {host, noticeMs},
     });
   }
 
-  /** Switches faults of the platform. */
+  /** Sets the faults of the fake platform; omitted ones are reset. */
   async setPlatformFaults(faults: Record<string, unknown>): Promise<void> {
     await got.put(`${this.platformUrl}/faults`, {json: faults});
   }
 
-  /** Switches faults of a backend server. */
+  /** Sets the faults of a fake backend server; omitted ones are reset. */
   async setServerFaults(
     server: RunningServer,
     faults: Record<string, unknown>,
@@ -171,7 +171,7 @@
     });
   }
 
-  private async prepareHost(
+  private async startHost(
     plan: TrialHost,
     ports: readonly number[],
   ): Promise<void> {
@@ -211,7 +211,7 @@
       .join('\n');
   }
 
-  /** Tells the platform's host list who there is. */
+  /** Writes all hosts and servers to the platform's host list. */
   private async publishHosts(): Promise<void> {
     const common = {zone: 'a', machineClass: 'standard', state: 'live'};
     const entries = this.hosts.map(run => ({
--- a/test/trial/callers_test.ts
+++ b/test/trial/callers_test.ts
@@ -12,7 +12,7 @@
   service,
 } from './system_fixture.js';
 
-describe('callers of a system of separate processes', () => {
+describe('a system of separate processes, for callers', () => {
   const system = new TrialSystem({
     hosts: [
       {name: 'tac-entry-1', dataCentre: 'tac-hall'},
@@ -73,7 +73,7 @@
       expect(completion.usage?.completion_tokens).to.equal(4);
     });
 
-    it('is told the kind and remedy of a refusal', async () => {
+    it('receives the kind and remedy of a refusal', async () => {
       const failure = await createClient()
         .chat.completions.create({model: 'nobody', messages})
         .catch((error: unknown) => error);
@@ -87,8 +87,8 @@
     });
   });
 
-  describe('bad input meets a clear error and the process goes on', () => {
-    async function doTest(
+  describe('answers invalid input with a clear error and continues to serve', () => {
+    async function expectProblem(
       path: string,
       options: OptionsInit,
       expected: {status: number; kind: string},
@@ -98,14 +98,14 @@
       expect(body['type']).to.equal(`urn:sedgefall:problem:${expected.kind}`);
       expect(body['remedy']).to.be.a('string').and.not.equal('');
       expect(body['ran']).to.equal('no');
-      const again = await createCaller(system, 0).stream('dossier', 'x', 2);
-      expect(again.complete).to.equal(true);
+      const followUp = await createCaller(system, 0).stream('dossier', 'x', 2);
+      expect(followUp.complete).to.equal(true);
     }
 
     const json = {model: 'dossier', prompt: 'x', max_tokens: 2};
 
     it('a body that is not JSON', () =>
-      doTest(
+      expectProblem(
         '/v1/completions',
         {body: '{'},
         {
@@ -114,8 +114,8 @@
         },
       ));
 
-    it('a body without its members', () =>
-      doTest(
+    it('a body without required members', () =>
+      expectProblem(
         '/v1/chat/completions',
         {json: {model: 'dossier'}},
         {
@@ -125,7 +125,7 @@
       ));
 
     it('a body over the limit', () =>
-      doTest(
+      expectProblem(
         '/v1/completions',
         {body: 'x'.repeat(30_000)},
         {
@@ -134,15 +134,15 @@
         },
       ));
 
-    it('a head over the limit', () =>
-      doTest(
+    it('a request header over the limit', () =>
+      expectProblem(
         '/v1/completions',
         {json, headers: {'x-long': 'x'.repeat(20_000)}},
         {status: 431, kind: 'header-invalid'},
       ));
 
     it('an unknown model', () =>
-      doTest(
+      expectProblem(
         '/v1/completions',
         {json: {...json, model: 'm'}},
         {
@@ -152,7 +152,7 @@
       ));
 
     it('an unknown service', () =>
-      doTest(
+      expectProblem(
         '/services/nobody/bids',
         {json},
         {
@@ -162,23 +162,23 @@
       ));
 
     it('a wrong key', () =>
-      doTest(
+      expectProblem(
         '/v1/completions',
         {json, headers: {authorization: 'Bearer wrong'}},
         {status: 401, kind: 'unauthenticated'},
       ));
 
     for (const timeout of ['0', '-5', '1e9', '99999999', 'soon']) {
-      it(`an absurd deadline: ${timeout}`, () =>
-        doTest(
+      it(`an invalid timeout: ${timeout}`, () =>
+        expectProblem(
           '/v1/completions',
           {json, headers: {'sedgefall-timeout-ms': timeout}},
           {status: 400, kind: 'deadline-invalid'},
         ));
     }
 
-    it('an absurd priority', () =>
-      doTest(
+    it('an invalid priority', () =>
+      expectProblem(
         '/v1/completions',
         {json, headers: {priority: 'u=99'}},
         {
@@ -187,15 +187,19 @@
         },
       ));
 
-    it('a forged key of this system', () =>
-      doTest(
+    it('an idempotency key that imitates one minted by the system', () =>
+      expectProblem(
         '/services/bids/bids',
         {json, headers: {'idempotency-key': 'sf1.nonsense'}},
         {status: 400, kind: 'key-invalid'},
       ));
 
     it('an unknown path', () =>
-      doTest('/v2/completions', {json}, {status: 404, kind: 'route-unknown'}));
+      expectProblem(
+        '/v2/completions',
+        {json},
+        {status: 404, kind: 'route-unknown'},
+      ));
   });
 
   describe('bookings', () => {
@@ -218,7 +222,7 @@
       expect(second.headers['sedgefall-replayed']).to.equal('true');
     });
 
-    it('refuses a key that was used for another request', async () => {
+    it('refuses a key that was used with a different body', async () => {
       const headers = {'idempotency-key': 'lot-2-bid-1'};
       const caller = createCaller(system, 0);
       await caller.call('bids', '/bids', {lot: 2}, headers);
@@ -226,7 +230,7 @@
       expect(second.status).to.equal(422);
     });
 
-    it('gives the answer again by the id of the request', async () => {
+    it('returns the stored answer by the id of the request', async () => {
       const first = await createCaller(system, 0).call('bids', '/bids', {l: 4});
       const id = String(first.headers['sedgefall-request-id']);
       const again = await got(
@@ -236,7 +240,7 @@
       expect(JSON.parse(again.body)).to.deep.equal(first.body);
     });
 
-    it('accepts a booking to be answered later', async () => {
+    it('accepts a booking asynchronously and returns its answer later', async () => {
       const accepted = await createCaller(system, 0).call(
         'bids',
         '/bids',
@@ -255,7 +259,7 @@
       }
     });
 
-    it('runs each of them once', async () => {
+    it('runs each booking once', async () => {
       const runs: Record<string, number> = {};
       for (const server of system.servers) {
         if (server.plan.kind === 'service') {
@@ -270,7 +274,7 @@
   });
 
   describe('streams', () => {
-    it('resume after the last event seen, through another host', async () => {
+    it('resume after the last received event, through another host', async () => {
       const whole = await createCaller(system, 0).stream('dossier', 'p', 20);
       const response = await got(
         `${getHost(system, 1).callersUrl}/v1/requests/${whole.requestId}/events`,
@@ -287,7 +291,7 @@
       expect(ids).to.deep.equal(Array.from({length: 12}, (_u, i) => i + 8));
     });
 
-    it('are given up at their deadline, although tokens still come', async () => {
+    it('are cancelled at their deadline even while tokens still arrive', async () => {
       const {status, body} = await post('/v1/completions', {
         json: {model: 'dossier', prompt: 'late', max_tokens: 4000},
         headers: {'sedgefall-timeout-ms': '500'},
@@ -296,7 +300,7 @@
       expect(body['type']).to.equal('urn:sedgefall:problem:deadline-passed');
     });
 
-    it('are not shown to other customers', async () => {
+    it('are not found under an unknown request id', async () => {
       const response = await got(
         `${getHost(system, 0).callersUrl}/v1/requests/sf1.a.b.c`,
         {
@@ -309,7 +313,7 @@
   });
 
   describe('logs', () => {
-    it('have a line per routing decision and no secrets', async () => {
+    it('contain a line per routing decision, but no keys or prompts', async () => {
       await createCaller(system, 0).stream('dossier', 'secret prompt', 2);
       const lines = getHost(system, 0).process.lines;
       const route = lines.filter(line => line.includes('event=route')).pop();
--- a/test/trial/crash_test.ts
+++ b/test/trial/crash_test.ts
@@ -12,7 +12,7 @@
 
 const KEYS = 40;
 
-describe('entry hosts that die or freeze, as separate processes', () => {
+describe('entry hosts that are killed or suspended, as separate processes', () => {
   const system = new TrialSystem({
     hosts: [
       {name: 'tac-entry-1', dataCentre: 'tac-hall'},
@@ -27,8 +27,10 @@
   });
   useSystem(system);
 
-  /** Books under a key through every host in turn until it is answered. */
-  async function book(key: string): Promise<CallResult | undefined> {
+  /** Sends a booking with a key to the hosts in turn, up to 9 times, until the status is 201. */
+  async function bookUntilAnswered(
+    key: string,
+  ): Promise<CallResult | undefined> {
     let last: CallResult | undefined;
     for (let attempt = 0; attempt < 9; attempt++) {
       try {
@@ -39,7 +41,7 @@
           {'idempotency-key': key, 'sedgefall-timeout-ms': '2500'},
         );
       } catch {
-        continue; // The host is dead: the balancer tries the next.
+        continue; // The host is down: try the next one, as a load balancer does.
       }
       if (last.status === 201) {
         return last;
@@ -48,41 +50,41 @@
     return last;
   }
 
-  async function checkOnce(prefix: string): Promise<void> {
+  async function expectNoKeyRanTwice(prefix: string): Promise<void> {
     const url = system.servers[1]?.url ?? '';
     const runs = await got(`${url}/runs`).json<Record<string, number>>();
-    const doubled = Object.entries(runs).filter(([, count]) => count > 1);
-    expect(doubled).to.deep.equal([]);
+    const ranTwice = Object.entries(runs).filter(([, count]) => count > 1);
+    expect(ranTwice).to.deep.equal([]);
     expect(Object.keys(runs).some(key => key.startsWith(prefix))).to.equal(
       true,
     );
   }
 
-  it('run no booking twice when the holder of its book is killed', async () => {
+  it('run no booking twice when the host that holds its book is killed', async () => {
     const bookings = Array.from({length: KEYS}, (_unused, index) =>
-      book(`kill-${index}`),
+      bookUntilAnswered(`kill-${index}`),
     );
-    await getHost(system, 0).process.end('SIGKILL');
+    await getHost(system, 0).process.terminate('SIGKILL');
     const results = await Promise.all(bookings);
     for (const result of results) {
-      // Answered, or honestly unknown; never refused as not run and yet run.
+      // Answered, or reported as unknown; a booking that ran is never refused as not run.
       expect([201, 503, 504]).to.include(result?.status);
     }
-    await checkOnce('kill-');
+    await expectNoKeyRanTwice('kill-');
     await system.restartHost(getHost(system, 0));
     await eventually(async () => {
-      const result = await book(`after-kill-${Math.random()}`);
+      const result = await bookUntilAnswered(`after-kill-${Math.random()}`);
       expect(result?.status).to.equal(201);
     });
   }).timeout(90_000);
 
-  it('run no booking twice when the holder freezes past its lease and wakes', async () => {
+  it('run no booking twice when the holder is suspended past its lease and resumed', async () => {
     const bookings = Array.from({length: KEYS}, (_unused, index) =>
-      book(`freeze-${index}`),
+      bookUntilAnswered(`freeze-${index}`),
     );
-    const frozen = getHost(system, 1).process;
-    frozen.kill('SIGSTOP');
-    const others = Array.from({length: KEYS}, (_unused, index) =>
+    const suspended = getHost(system, 1).process;
+    suspended.kill('SIGSTOP');
+    const retries = Array.from({length: KEYS}, (_unused, index) =>
       createCaller(system, index % 2 === 0 ? 0 : 2).call(
         'bids',
         '/bids',
@@ -93,9 +95,9 @@
         },
       ),
     );
-    await Promise.all(others);
-    frozen.kill('SIGCONT');
+    await Promise.all(retries);
+    suspended.kill('SIGCONT');
     await Promise.all(bookings);
-    await checkOnce('freeze-');
+    await expectNoKeyRanTwice('freeze-');
   }).timeout(90_000);
 });
--- a/test/trial/lifecycle_test.ts
+++ b/test/trial/lifecycle_test.ts
@@ -11,7 +11,7 @@
 } from './system_fixture.js';
 
 describe('the lifecycle of entry hosts as separate processes', () => {
-  describe('a host that starts while the platform is away', () => {
+  describe('a host that starts while the platform is unavailable', () => {
     const system = new TrialSystem({
       hosts: [
         {name: 'tac-entry-1', dataCentre: 'tac-hall'},
@@ -21,12 +21,12 @@
     });
     useSystem(system);
 
-    it('says that it is not ready, and serves once a peer tells it', async () => {
+    it('becomes ready and serves once it has received the configuration from a peer', async () => {
       await system.setPlatformFaults({table: 'down', hostList: 'down'});
       const host = getHost(system, 1);
-      await host.process.end('SIGKILL');
+      await host.process.terminate('SIGKILL');
       await system.restartHost(host);
-      // It knows nobody: peers find it, as they still know its address.
+      // It knows no other host, but its peers still know its address and connect to it.
       await eventually(async () => {
         const ready = await got(`${host.operatorsUrl}/ready`, {
           throwHttpErrors: false,
@@ -55,10 +55,10 @@
     });
     useSystem(system);
 
-    it('cuts off neither streams nor bookings, and exits with 0', async () => {
+    it('interrupts neither streams nor bookings, and exits with 0', async () => {
       await eventually(async () => {
-        const warm = await createCaller(system, 0).stream('dossier', 'x', 2);
-        expect(warm.complete).to.equal(true);
+        const warmUp = await createCaller(system, 0).stream('dossier', 'x', 2);
+        expect(warmUp.complete).to.equal(true);
       });
       const caller = createCaller(system, 0);
       const streams = Array.from({length: 5}, (_unused, index) =>
@@ -72,14 +72,14 @@
           {'idempotency-key': `stop-${index}`},
         ),
       );
-      const running = async () => {
+      const checkInFlight = async () => {
         const metrics = await got(
           `${getHost(system, 0).operatorsUrl}/metrics`,
         ).text();
         expect(metrics).to.include('sedgefall_requests_in_flight 13');
       };
-      await eventually(running);
-      const code = getHost(system, 0).process.end('SIGTERM');
+      await eventually(checkInFlight);
+      const code = getHost(system, 0).process.terminate('SIGTERM');
       for (const stream of await Promise.all(streams)) {
         expect(stream.complete).to.equal(true);
         expect(stream.tokens).to.equal(60);
--- a/test/trial/operators_test.ts
+++ b/test/trial/operators_test.ts
@@ -19,7 +19,7 @@
   service,
 } from './system_fixture.js';
 
-describe('operators of a system of separate processes', () => {
+describe('a system of separate processes, for operators', () => {
   const system = new TrialSystem({
     hosts: [
       {name: 'tac-entry-1', dataCentre: 'tac-hall'},
@@ -75,7 +75,7 @@
     keyHashes: ['1'.repeat(64)],
   };
 
-  describe('the tool', () => {
+  describe('the command-line tool', () => {
     it('applies, gets, describes and deletes a record', async () => {
       const file = await writeRecord('customer.json', customer);
       expect((await runTool(['apply', file])).stdout).to.include('in-force');
@@ -86,17 +86,17 @@
       expect(described.stdout).to.include('keyHashes');
       const deleted = await runTool(['delete', 'customer', 'south-house']);
       expect(deleted.code).to.equal(0);
-      const gone = await runTool(['get', 'customer', 'south-house']);
-      expect(gone.code).to.equal(5);
-      expect(gone.stderr).to.include('sedgefall get customers');
+      const missing = await runTool(['get', 'customer', 'south-house']);
+      expect(missing.code).to.equal(5);
+      expect(missing.stderr).to.include('sedgefall get customers');
     });
 
-    it('tells the loser of a race what won', async () => {
+    it('shows the current record when a precondition fails', async () => {
       const file = await writeRecord('c2.json', {...customer, name: 'c2'});
       await runTool(['apply', file]);
-      const lost = await runTool(['apply', file, '--if-revision', '0']);
-      expect(lost.code).to.equal(4);
-      expect(lost.stderr).to.include('the record is now: {');
+      const rejected = await runTool(['apply', file, '--if-revision', '0']);
+      expect(rejected.code).to.equal(4);
+      expect(rejected.stderr).to.include('the record is now: {');
     });
 
     it('shows the state of the system', async () => {
@@ -105,7 +105,7 @@
       expect(stdout).to.match(/tac-model-1 +tac-hall +engine/);
     });
 
-    it('validates offline, with every mistake', async () => {
+    it('validates records offline and reports every mistake', async () => {
       const file = await writeRecord('bad.json', {
         ...customer,
         keyHashes: [],
@@ -116,7 +116,7 @@
       expect(stderr).to.include('keyHashes').and.to.include('weight');
     });
 
-    it('says what to do when the host cannot be reached', async () => {
+    it('suggests --server when the host cannot be reached', async () => {
       const {code, stderr} = await new Promise<{code: number; stderr: string}>(
         resolve => {
           const args = [
@@ -138,7 +138,7 @@
       expect(stderr).to.include('give --server');
     });
 
-    it('drains a server, which then gets no new work, and undrains it', async () => {
+    it('drains a server, which then receives no requests, and undrains it', async () => {
       await runTool(['drain', 'server', 'tac-bids-1']);
       const refused = await createCaller(system, 0).call('bids', '/b', {});
       expect(refused.status).to.equal(503);
@@ -148,7 +148,7 @@
       expect(served.status).to.equal(201);
     });
 
-    it('drains a host through another, so that it is not ready', async () => {
+    it('drains a host through another host, which makes it not ready', async () => {
       const url = `${getHost(system, 1).operatorsUrl}/ready`;
       await runTool(['drain', 'host', 'pdx-entry-1']);
       expect(
@@ -161,7 +161,7 @@
   });
 
   describe('placement', () => {
-    it('brings a new version of a deployment to its server', async () => {
+    it('loads a new version of a deployment on its server', async () => {
       const file = await writeRecord('dossier.json', {
         schemaVersion: 2,
         kind: 'deployment',
@@ -205,7 +205,7 @@
       expect(body).to.include('use 1 or 2');
     });
 
-    it('that name a back end nobody has are refused', async () => {
+    it('that name an unknown server are refused', async () => {
       const {status, body} = await put({...record, servers: ['ghost']});
       expect(status).to.equal(422);
       expect(body).to.include('ghost').and.to.include('known: ');
@@ -232,7 +232,7 @@
     });
   });
 
-  describe('hostile peers', () => {
+  describe('invalid input on the peer port', () => {
     async function sendBytes(bytes: Buffer): Promise<void> {
       const [host, port] = getHost(system, 0).peerAddress.split(':');
       const socket = connect(Number(port), host);
@@ -245,12 +245,12 @@
     const frames: Readonly<Record<string, Buffer>> = {
       'a frame of two gigabytes': Buffer.from([0x7f, 0xff, 0xff, 0xff, 1]),
       'a frame that is not CBOR': Buffer.from([0, 0, 0, 2, 0xff, 0xff]),
-      'a greeting without its members': Buffer.from([0, 0, 0, 1, 0xa0]),
+      'a greeting without required members': Buffer.from([0, 0, 0, 1, 0xa0]),
       'an HTTP request': Buffer.from('GET / HTTP/1.1\r\n\r\n'),
       'a truncated frame': Buffer.from([0, 0, 3]),
     };
     for (const [title, bytes] of Object.entries(frames)) {
-      it(`${title} is dropped and logged, and the process goes on`, async () => {
+      it(`${title} is dropped and logged, and the host continues to serve`, async () => {
         const {lines} = getHost(system, 0).process;
         const dropped = () =>
           lines.filter(line => line.includes('event=stranger_dropped')).length;
@@ -278,7 +278,7 @@
       expect(stderr).to.include('callers');
     });
 
-    it('exposes metrics, health and its description without a key', async () => {
+    it('exposes metrics, health and its OpenAPI description without a key', async () => {
       const url = getHost(system, 0).operatorsUrl;
       const metrics = await got(`${url}/metrics`).text();
       expect(metrics).to.match(/sedgefall_first_token_seconds_bucket\{/);
--- a/test/trial/rolling_restart_test.ts
+++ b/test/trial/rolling_restart_test.ts
@@ -12,7 +12,7 @@
   service,
 } from './system_fixture.js';
 
-describe('planned stops of entry hosts as separate processes', () => {
+describe('planned stops of entry hosts, as separate processes', () => {
   async function isReady(system: TrialSystem, index: number): Promise<boolean> {
     const url = `${getHost(system, index).operatorsUrl}/ready`;
     try {
@@ -41,12 +41,12 @@
     });
     useSystem(system);
 
-    it('cuts off nothing, and runs every booking once', async () => {
+    it('interrupts no stream and runs every booking once', async () => {
       let restarting = true;
       let sent = 0;
       const bookings: Promise<number>[] = [];
       const streams: Promise<StreamResult>[] = [];
-      /** Sends as the balancer does: to hosts that say they are ready. */
+      /** Sends requests to hosts that report ready, as a load balancer does. */
       const send = async () => {
         while (restarting) {
           for (const index of system.hosts.keys()) {
@@ -64,7 +64,7 @@
       };
       const sending = send();
       for (const host of system.hosts) {
-        expect(await host.process.end('SIGTERM')).to.equal(0);
+        expect(await host.process.terminate('SIGTERM')).to.equal(0);
         await system.restartHost(host);
         await eventually(async () => {
           const index = system.hosts.indexOf(host);
@@ -75,10 +75,12 @@
       await sending;
       const statuses = await Promise.all(bookings);
       expect(statuses.filter(status => status !== 201)).to.deep.equal([]);
-      // A refusal is an answer too; a stream that began must end whole.
-      const begun = (await Promise.all(streams)).filter(r => r.status === 200);
-      expect(begun.filter(r => !r.complete)).to.deep.equal([]);
-      expect(begun).to.not.have.length(0);
+      // Refusals are allowed, but every stream that started must be complete.
+      const started = (await Promise.all(streams)).filter(
+        r => r.status === 200,
+      );
+      expect(started.filter(r => !r.complete)).to.deep.equal([]);
+      expect(started).to.not.have.length(0);
       const url = system.servers[1]?.url ?? '';
       const runs = await got(`${url}/runs`).json<Record<string, number>>();
       expect(Object.values(runs).every(count => count === 1)).to.equal(true);
@@ -86,7 +88,7 @@
     }).timeout(60_000);
   });
 
-  describe('a stream that does not finish in the grace', () => {
+  describe('a stream that does not finish within the grace period', () => {
     const system = new TrialSystem({
       hosts: [
         {name: 'tac-entry-1', dataCentre: 'tac-hall'},
@@ -97,7 +99,7 @@
     });
     useSystem(system);
 
-    it('goes on at a peer, and resumes there without a token missing or twice', async () => {
+    it('continues on a peer and can be resumed there without missing or repeated tokens', async () => {
       const first = createCaller(system, 0);
       const streaming = first.stream('dossier', 'a long dossier', 100);
       const metrics = `${getHost(system, 0).operatorsUrl}/metrics`;
@@ -105,27 +107,27 @@
         const text = await got(metrics).text();
         expect(text).to.match(/between_tokens_seconds_count\{\S+\} [1-9]/);
       });
-      await getHost(system, 0).process.end('SIGTERM');
-      const begun = await streaming;
-      expect(begun.complete).to.equal(false);
-      expect(begun.tokens).to.be.greaterThan(0);
+      await getHost(system, 0).process.terminate('SIGTERM');
+      const interrupted = await streaming;
+      expect(interrupted.complete).to.equal(false);
+      expect(interrupted.tokens).to.be.greaterThan(0);
       const response = await got(
-        `${getHost(system, 1).callersUrl}/v1/requests/${begun.requestId}/events`,
+        `${getHost(system, 1).callersUrl}/v1/requests/${interrupted.requestId}/events`,
         {
           headers: {
             authorization: `Bearer ${CALLER_KEY}`,
-            'last-event-id': `${begun.requestId}/${begun.tokens - 1}`,
+            'last-event-id': `${interrupted.requestId}/${interrupted.tokens - 1}`,
           },
         },
       );
-      const rest = [...response.body.matchAll(/"text":"([^"]*)"/g)]
+      const remainder = [...response.body.matchAll(/"text":"([^"]*)"/g)]
         .map(match => match[1])
         .join('');
       const expected = getExpectedTokens({
         prompt: 'a long dossier',
         max_tokens: 100,
       });
-      expect(begun.text + rest).to.equal(expected.join(''));
+      expect(interrupted.text + remainder).to.equal(expected.join(''));
       expect(response.body).to.include('[DONE]');
     });
   });
--- a/test/trial/system_fixture.ts
+++ b/test/trial/system_fixture.ts
@@ -1,10 +1,10 @@
 import {hashKey} from '../../src/caller/index.js';
 import {RunningHost, TrialCaller, TrialSystem} from '../../src/trial/index.js';
 
-/** Key of the customer in system tests. */
+/** API key of the customer in system tests. */
 export const CALLER_KEY = 'test-caller-key';
 
-/** A model server of a test. */
+/** Returns the plan of a model server. */
 export function engine(name: string, dataCentre: string, decodeMs = 5) {
   return {
     name,
@@ -15,12 +15,15 @@
   };
 }
 
-/** A bidding server of a test. */
+/** Returns the plan of a server of the plain service `bids`. */
 export function service(name: string, dataCentre: string, ...args: string[]) {
   return {name, dataCentre, kind: 'service' as const, service: 'bids', args};
 }
 
-/** Describes the servers, a customer and two deployments to the system. */
+/**
+ * Creates the records of the servers, a customer and a model deployment, and of a service
+ * deployment if the plan has a service.
+ */
 export async function applyRecords(system: TrialSystem): Promise<void> {
   for (const record of system.listServerRecords()) {
     await system.apply(record);
@@ -36,7 +39,7 @@
     kind: 'deployment',
     name: 'dossier',
     target: {kind: 'model', model: 'provenance-8b', version: '1'},
-    // A busy test machine must not make admission refuse.
+    // High targets, so that admission refuses nothing on a busy test machine.
     latencyTarget: {firstTokenMs: 60_000, betweenTokensMs: 10_000},
     servers: system.servers
       .filter(server => server.plan.kind === 'engine')
@@ -54,7 +57,7 @@
   });
 }
 
-/** Has a suite start a system with its records before, and stop it after. */
+/** Registers hooks that start a system with its records before a suite and stop it afterwards. */
 export function useSystem(system: TrialSystem): void {
   before(async () => {
     await system.start();
@@ -72,23 +75,23 @@
   return host;
 }
 
-/** Returns a caller that talks to a host. */
+/** Returns a client of a host that uses the customer's key. */
 export function createCaller(system: TrialSystem, index: number): TrialCaller {
   return new TrialCaller(getHost(system, index).callersUrl, CALLER_KEY);
 }
 
-/** Repeats a check until it holds; gives up with its last failure. */
+/** Repeats a check until it passes; throws its last error after the timeout. */
 export async function eventually(
   check: () => Promise<void>,
-  limitMs = 10_000,
+  timeoutMs = 10_000,
 ): Promise<void> {
-  const endMs = Date.now() + limitMs;
+  const deadlineMs = Date.now() + timeoutMs;
   for (;;) {
     try {
       await check();
       return;
     } catch (error) {
-      if (Date.now() > endMs) {
+      if (Date.now() > deadlineMs) {
         throw error;
       }
       await new Promise(resolve => setTimeout(resolve, 25));
