--- a/src/bin/fake_backend.ts
+++ b/src/bin/fake_backend.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: a fake backend server, for trials on one machine. */
+/** Program: runs a fake backend server, for trials on one machine. */
 import {cac} from 'cac';
 import {Express} from 'express';
 import {
@@ -11,7 +11,7 @@
 } from '../fakes/index.js';
 import {Clock, SystemClock} from '../time/index.js';
 
-/** Options of the program, as the command line gives them. */
+/** Command-line options. */
 interface Options {
   readonly port: number;
   readonly name: string;
@@ -31,14 +31,16 @@
   .option('--port <port>', 'Port to listen on', {default: 0})
   .option('--name <name>', 'Name of the server', {default: 'server'})
   .option('--kind <kind>', 'engine or service', {default: 'engine'})
-  .option('--model <model>', 'name@version loaded at the start', {
+  .option('--model <model>', 'Model loaded initially, as name@version', {
     default: 'provenance-8b@1',
   })
   .option('--decode-ms <ms>', 'Milliseconds between tokens', {default: 10})
   .option('--prefill-rate <rate>', 'Prompt tokens per second', {default: 8000})
-  .option('--capacity <n>', 'Generations decoded at once', {default: 32})
+  .option('--capacity <n>', 'Number of generations decoded concurrently', {
+    default: 32,
+  })
   .option('--service-ms <ms>', 'Milliseconds per service call', {default: 5})
-  .option('--deduplicates', 'Repeat the first answer for a repeated key')
+  .option('--deduplicates', 'Return the first answer for a repeated key')
   .option('--lookups', 'Answer GET /outcomes/KEY')
   .action(async (options: Options) => {
     const clock = new SystemClock();
--- a/src/bin/fake_platform.ts
+++ b/src/bin/fake_platform.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: the fake platform, for trials on one machine. */
+/** Program: runs the fake platform, for trials on one machine. */
 import {cac} from 'cac';
 import {FakePlatform, serveApp} from '../fakes/index.js';
 import {SystemClock} from '../time/index.js';
@@ -8,7 +8,7 @@
 cli
   .command(
     '',
-    'Serve a table, objects, a host list and a cloud API on loopback',
+    'Serve a table, an object store, a host list and a cloud API on loopback',
   )
   .option('--port <port>', 'Port to listen on', {default: 7400})
   .action(async (options: {port: number}) => {
--- a/src/bin/measure.ts
+++ b/src/bin/measure.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: measures the decisions against baselines; see docs/MEASUREMENTS.md. */
+/** Program: compares the system's decisions with baseline policies; see docs/MEASUREMENTS.md. */
 import {mkdir, writeFile} from 'node:fs/promises';
 import {join} from 'node:path';
 import {cac} from 'cac';
@@ -16,7 +16,7 @@
   runExperiment,
 } from '../measure/index.js';
 
-/** Options of the program, as the command line gives them. */
+/** Command-line options. */
 interface Options {
   readonly quick?: boolean;
   readonly plot?: string;
@@ -25,16 +25,19 @@
 
 const QUICK_MS = 6000;
 const FULL_MS = 9000;
-/** Runs on emulated servers last longer: subjects return within seconds. */
+/**
+ * Durations of the reuse experiment. Runs on its emulated servers last longer, since subjects of
+ * prompts recur within seconds.
+ */
 const QUICK_REUSE_MS = 20_000;
 const FULL_REUSE_MS = 64_000;
 
 const cli = cac('measure');
 cli
-  .command('', 'Compare the decisions with baselines')
-  .option('--quick', 'Shorter runs, one seed; ends in 45 s')
-  .option('--plot <dir>', 'Write the curves as SVG')
-  .option('--only <name>', 'Experiments whose name begins like this')
+  .command('', 'Compare the decisions of the system with baseline policies')
+  .option('--quick', 'Shorter runs with one seed; ends within 45 s')
+  .option('--plot <dir>', 'Write the curves as SVG files to this folder')
+  .option('--only <name>', 'Run only experiments whose name starts with this')
   .action(run);
 cli.help();
 cli.parse();
@@ -55,8 +58,8 @@
     all.push(...results);
   }
   if ('reuse'.startsWith(options.only ?? '')) {
-    const lastsMs = quick ? QUICK_REUSE_MS : FULL_REUSE_MS;
-    for (const line of await measureReuse(lastsMs, seeds)) {
+    const reuseDurationMs = quick ? QUICK_REUSE_MS : FULL_REUSE_MS;
+    for (const line of await measureReuse(reuseDurationMs, seeds)) {
       print(formatLine(line));
     }
   }
@@ -70,16 +73,16 @@
   }
 }
 
-/** A line of figures, with the ratio of the product's own to this policy's. */
-function formatResult(result: PolicyResult, ours: PolicyResult): string {
+/** Formats the figures of a policy, and the ratios of the system's own figures to them. */
+function formatResult(result: PolicyResult, product: PolicyResult): string {
   const {experiment, policy, runs} = result;
   const mean = (pick: (figures: Figures) => number) => average(runs.map(pick));
-  const own = (pick: (figures: Figures) => number) =>
-    average(ours.runs.map(pick));
+  const productMean = (pick: (figures: Figures) => number) =>
+    average(product.runs.map(pick));
   const share = (figures: Figures) =>
     figures.inTime / Math.max(1, figures.requests);
   const spread = Math.max(...runs.map(share)) - Math.min(...runs.map(share));
-  const others = (figures: Figures) => {
+  const otherCustomersMean = (figures: Figures) => {
     const shares = [...figures.inTimeByCustomer].filter(
       ([name]) => name !== 'large-1',
     );
@@ -93,7 +96,7 @@
     requests: Math.round(mean(f => f.requests)),
     in_time: mean(share).toFixed(3),
     in_time_spread: spread.toFixed(3),
-    others_in_time: mean(others).toFixed(3),
+    others_in_time: mean(otherCustomersMean).toFixed(3),
     first_token_p95_ms: Math.round(mean(f => f.firstTokenP95Ms)),
     between_p95_ms: Math.round(mean(f => f.betweenTokensP95Ms)),
     recomputed: Math.round(mean(f => f.recomputedTokens)),
@@ -101,34 +104,40 @@
     goodput: mean(f => f.goodput).toFixed(1),
     refused: Math.round(mean(f => f.refused)),
     failed: Math.round(mean(f => f.failed)),
-    ours_to_this_first_token: ratio(
-      own(f => f.firstTokenP95Ms),
+    ours_to_this_first_token: formatRatio(
+      productMean(f => f.firstTokenP95Ms),
       mean(f => f.firstTokenP95Ms),
     ),
-    ours_to_this_recomputed: ratio(
-      own(f => f.recomputedTokens),
+    ours_to_this_recomputed: formatRatio(
+      productMean(f => f.recomputedTokens),
       mean(f => f.recomputedTokens),
     ),
-    ours_to_this_goodput: ratio(
-      own(f => f.goodput),
+    ours_to_this_goodput: formatRatio(
+      productMean(f => f.goodput),
       mean(f => f.goodput),
     ),
     recovered_after_s:
-      experiment.name === 'recovery' ? getRecovery(result) : undefined,
+      experiment.name === 'recovery' ? getRecoverySeconds(result) : undefined,
   });
 }
 
-/** Seconds after the overload until goodput is back at the offered load. */
-function getRecovery(result: PolicyResult): number {
+/**
+ * Returns the mean number of seconds from the end of the overload until goodput reaches 80 % of
+ * the offered load.
+ */
+function getRecoverySeconds(result: PolicyResult): number {
   const {runs, experiment} = result;
-  const offered = (FULL_RATE[experiment.profile.name] ?? 1) / 2;
+  const offeredPerSecond = (FULL_RATE[experiment.profile.name] ?? 1) / 2;
   const seconds = runs.map(figures => {
     const {timeline} = figures;
-    const end = Math.round(timeline.length / 3);
-    const back = timeline.findIndex(
-      (count, second) => second >= end && count >= offered * 0.8,
+    const overloadEndSecond = Math.round(timeline.length / 3);
+    const recoveredSecond = timeline.findIndex(
+      (count, second) =>
+        second >= overloadEndSecond && count >= offeredPerSecond * 0.8,
     );
-    return back < 0 ? timeline.length - end : back - end;
+    return recoveredSecond < 0
+      ? timeline.length - overloadEndSecond
+      : recoveredSecond - overloadEndSecond;
   });
   return average(seconds);
 }
@@ -139,12 +148,12 @@
   );
 }
 
-function ratio(ours: number, theirs: number): string {
-  return theirs === 0
-    ? ours === 0
+function formatRatio(productValue: number, policyValue: number): string {
+  return policyValue === 0
+    ? productValue === 0
       ? '1.00'
       : 'inf'
-    : (ours / theirs).toFixed(2);
+    : (productValue / policyValue).toFixed(2);
 }
 
 async function plot(
@@ -169,7 +178,7 @@
     }));
     const svg = formatCurve(
       `Goodput against offered load, ${users}`,
-      'offered load, times capacity',
+      'offered load, in multiples of capacity',
       'answers in time per second',
       curves,
     );
--- a/src/bin/prove.ts
+++ b/src/bin/prove.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
-/** Program: proves the promises by generated histories; see docs/PROMISES.md. */
+/** Program: checks the promises against generated histories; see docs/PROMISES.md. */
 import {cac} from 'cac';
 import {formatLine} from '../log/index.js';
 import {PROOFS, ProofResult, reportRates} from '../prove/index.js';
 
-/** Options of the program, as the command line gives them. */
+/** Command-line options. */
 interface Options {
   readonly seed?: number;
   readonly histories: number;
@@ -12,16 +12,17 @@
   readonly rates?: boolean;
 }
 
+/** Maximum number of histories in which the broken variant of a promise must be caught. */
 const VARIANT_HISTORIES = 2000;
 const MAX_SEED = 0x7fffffff;
 
 const cli = cac('prove');
 cli
-  .command('', 'Run every promise against generated faults')
-  .option('--seed <n>', 'Seed of the schedules; a random one is printed')
-  .option('--histories <n>', 'Histories per promise', {default: 300})
-  .option('--only <name>', 'Run one promise only')
-  .option('--rates', 'Also report what callers are told under each fault')
+  .command('', 'Check every promise against generated operations and faults')
+  .option('--seed <n>', 'Seed of the schedules; random by default, and printed')
+  .option('--histories <n>', 'Number of histories per promise', {default: 300})
+  .option('--only <name>', 'Check only this promise')
+  .option('--rates', 'Also report the outcomes of calls under each fault')
   .action(run);
 cli.help();
 cli.parse();
@@ -47,11 +48,11 @@
     await printRates(seed);
   }
   const violations = results.reduce((sum, r) => sum + r.violations, 0);
-  const caught = results.filter(result => result.variantCaught).length;
+  const caughtVariants = results.filter(result => result.variantCaught).length;
   print(
-    `prove promises=${results.length} violations=${violations} variants_caught=${caught}/${results.length}`,
+    `prove promises=${results.length} violations=${violations} variants_caught=${caughtVariants}/${results.length}`,
   );
-  process.exitCode = violations > 0 || caught < results.length ? 1 : 0;
+  process.exitCode = violations > 0 || caughtVariants < results.length ? 1 : 0;
 }
 
 function formatResult(result: ProofResult, tookMs: number): string {
@@ -74,7 +75,8 @@
 
 async function printRates(seed: number): Promise<void> {
   for (const rate of await reportRates(seed, 200)) {
-    const share = (part: number) => (part / Math.max(1, rate.calls)).toFixed(3);
+    const share = (count: number) =>
+      (count / Math.max(1, rate.calls)).toFixed(3);
     print(
       formatLine({
         fault: rate.fault,
--- a/src/bin/sedgefall.ts
+++ b/src/bin/sedgefall.ts
@@ -12,7 +12,7 @@
   readHostState,
 } from '../cli/index.js';
 
-/** Options that every command has. */
+/** Options that are common to all commands. */
 interface CommonOptions {
   readonly server?: string;
   readonly key?: string;
@@ -21,22 +21,25 @@
 
 const VERSION = '0.1.0';
 const cli = cac('sedgefall');
-cli.option('--server <url>', 'Operators address of an entry host', {
+cli.option('--server <url>', 'URL of the operators address of an entry host', {
   default: process.env['SEDGEFALL_SERVER'] ?? 'http://127.0.0.1:8081',
 });
-cli.option('--key <key>', 'Operator key (or SEDGEFALL_KEY)');
+cli.option('--key <key>', 'Operator key; defaults to SEDGEFALL_KEY');
 cli.option('--output <format>', 'table or json', {default: 'table'});
 
 cli
   .command('apply [...files]', 'Create or change the records in files')
-  .option('--if-revision <n>', 'Only if the record is at this revision; 0: new')
-  .option('--force', 'Accept names that are not known')
+  .option(
+    '--if-revision <n>',
+    'Only if the record is at this revision; 0 if it is new',
+  )
+  .option('--force', 'Skip the check that all names in the records are known')
   .action((files: string[], options: CommonOptions & ChangeOptions) =>
     run(options, commands => commands.apply(files, options)),
   );
 cli
   .command('get <kind> [name]', 'List records, or show one')
-  .option('--schema-version <n>', 'Show them in this schema version')
+  .option('--schema-version <n>', 'Show the records in this schema version')
   .action(
     (
       kind: string,
@@ -63,32 +66,45 @@
     run(options, commands => commands.status(part)),
   );
 cli
-  .command('drain <kind> <name>', 'Keep new work from a host or server')
+  .command('drain <kind> <name>', 'Send no new work to a host or server')
   .action((kind: string, name: string, options: CommonOptions) =>
     run(options, commands => commands.drain(kind, name, true)),
   );
 cli
-  .command('undrain <kind> <name>', 'Let a host or server have work again')
+  .command(
+    'undrain <kind> <name>',
+    'Send work to a drained host or server again',
+  )
   .action((kind: string, name: string, options: CommonOptions) =>
     run(options, commands => commands.drain(kind, name, false)),
   );
 cli
-  .command('validate [...files]', 'Check records without any host')
+  .command(
+    'validate [...files]',
+    'Check records offline, without contacting a host',
+  )
   .action((files: string[], options: CommonOptions) =>
     run(options, commands => commands.validate(files)),
   );
 cli
-  .command('host-state <address>', 'Show what a relaying host knows')
+  .command('host-state <address>', 'Show the state of a relay host')
   .action(showHostState);
 cli
-  .command('explain [...files]', 'Explain a request, or losses, from log files')
-  .option('--request <id>', 'One request, with its lines')
-  .option('--by <group>', 'cause, route, customer, data_centre or window', {
-    default: 'cause',
-  })
-  .option('--from <time>', 'Requests from this moment on')
-  .option('--to <time>', 'Requests up to this moment')
-  .option('--window <seconds>', 'Length of a window', {default: 2})
+  .command(
+    'explain [...files]',
+    'Explain a request, or lost requests, from log files',
+  )
+  .option('--request <id>', 'Explain this request and show its log lines')
+  .option(
+    '--by <group>',
+    'Group by cause, route, customer, data_centre or window',
+    {
+      default: 'cause',
+    },
+  )
+  .option('--from <time>', 'Only requests at or after this time')
+  .option('--to <time>', 'Only requests up to this time')
+  .option('--window <seconds>', 'Length of a window, in seconds', {default: 2})
   .action(explain);
 cli
   .command(
@@ -109,7 +125,7 @@
   }
   await cli.runMatchedCommand();
 } catch (error) {
-  fail(error);
+  reportError(error);
 }
 
 async function explain(
@@ -121,7 +137,7 @@
     const text = await explainLogs(files, {...options, windowSeconds});
     process.stdout.write(`${text}\n`);
   } catch (error) {
-    fail(error);
+    reportError(error);
   }
 }
 
@@ -130,7 +146,7 @@
     const state = await readHostState(address);
     process.stdout.write(`${JSON.stringify(state, undefined, 2)}\n`);
   } catch (error) {
-    fail(error);
+    reportError(error);
   }
 }
 
@@ -146,7 +162,7 @@
     });
     process.exitCode = await execute(commands);
   } catch (error) {
-    fail(error);
+    reportError(error);
   }
 }
 
@@ -155,7 +171,7 @@
   if (key === undefined) {
     throw new CommandFailure(
       ExitCode.USAGE,
-      'no operator key; give --key KEY or set SEDGEFALL_KEY',
+      'no operator key given; use --key KEY or set SEDGEFALL_KEY',
     );
   }
   return new AdminClient({url: String(options.server), key: String(key)});
@@ -165,13 +181,13 @@
   if (output !== 'json' && output !== 'table') {
     throw new CommandFailure(
       ExitCode.USAGE,
-      `--output ${output} is not known; use json or table`,
+      `unknown output format ${output}; use --output json or --output table`,
     );
   }
   return output === 'json';
 }
 
-function fail(error: unknown): void {
+function reportError(error: unknown): void {
   const message = error instanceof Error ? error.message : String(error);
   process.stderr.write(`sedgefall: ${message}\n`);
   process.exitCode =
--- a/src/bin/sedgefalld.ts
+++ b/src/bin/sedgefalld.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Program: the daemon of an entry host. */
+/** Program: runs the daemon of an entry host. */
 import 'reflect-metadata/lite';
 import {readFile} from 'node:fs/promises';
 import {cac} from 'cac';
@@ -28,10 +28,12 @@
 } from '../settings/index.js';
 import {SystemClock} from '../time/index.js';
 
+/** Exit code when the settings are missing, unreadable or invalid. */
 const EXIT_SETTINGS = 2;
+/** Exit code when the daemon cannot start. */
 const EXIT_START = 3;
 
-/** Options of the program, as the command line gives them. */
+/** Command-line options. */
 interface Options {
   readonly settings?: string;
   readonly checkSettings?: boolean;
@@ -63,26 +65,28 @@
 
 async function readSettings(file: string | undefined): Promise<Settings> {
   if (file === undefined) {
-    return exitWith(EXIT_SETTINGS, ['give --settings FILE; see --help']);
+    return exitWithError(EXIT_SETTINGS, [
+      'no settings file given; use --settings FILE, or see --help',
+    ]);
   }
   let text: string;
   try {
     text = await readFile(file, 'utf8');
   } catch {
-    return exitWith(EXIT_SETTINGS, [
+    return exitWithError(EXIT_SETTINGS, [
       `${file}: cannot be read; check the path and its permissions`,
     ]);
   }
   const parsed = parseSettings(text);
   return parsed.isOk
     ? parsed.value
-    : exitWith(
+    : exitWithError(
         EXIT_SETTINGS,
         parsed.error.map(mistake => `${file}: ${mistake}`),
       );
 }
 
-function exitWith(code: number, lines: readonly string[]): never {
+function exitWithError(code: number, lines: readonly string[]): never {
   for (const line of lines) {
     process.stderr.write(`sedgefalld: ${line}\n`);
   }
@@ -121,8 +125,8 @@
     await daemon.start();
   } catch (error) {
     const detail = error instanceof Error ? error.message : String(error);
-    exitWith(EXIT_START, [
-      `cannot start: ${detail}; check the three addresses in the settings`,
+    exitWithError(EXIT_START, [
+      `cannot start: ${detail}; check the addresses of callers, operators and peers in the settings`,
     ]);
   }
   process.on('SIGTERM', () => void daemon.stop(settings.drain.grace_ms));
