--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,16 +1,16 @@
-// Bundles the daemon for the users' platform into one file, with the code that
-// V8 has compiled for it beside it: after a kill the process is back sooner.
-// From the start of node until it looks for its settings, in processor time, least
-// of 12: one file 0.30 s, with compiled code 0.16 s, an empty program 0.03 s.
+// Bundles the daemon for the users' platform into one file and stores V8's code cache
+// next to it, so that the process restarts faster after it was killed.
+// CPU time from the start of node until the daemon looks for its settings, minimum of
+// 12 runs: bundle 0.30 s, bundle with code cache 0.16 s, an empty program 0.03 s.
 import {copyFileSync, readFileSync, writeFileSync} from 'node:fs';
 import {createRequire} from 'node:module';
 import {Script} from 'node:vm';
 import {build} from 'esbuild';
 
 const BUNDLE = 'target/sedgefalld.bundle.cjs';
-const COMPILED = 'target/sedgefalld.bundle.bin';
+const CODE_CACHE = 'target/sedgefalld.bundle.bin';
 const SETTINGS = 'target/warm-up.toml';
-/** Long enough for the daemon to listen and to have asked the store twice. */
+/** Long enough for the daemon to listen and to query the store twice. */
 const WARM_UP_MS = 1500;
 const WARM_UP_SETTINGS = `
 node = "warm-up"
@@ -30,13 +30,13 @@
 `;
 
 /**
- * Leaves out what the daemon never calls but would load at every start: zod's
- * messages in other languages, HTTP/2 under `got`, the compression of histograms
- * that are only ever read in place and the writer of their files, and the search for
- * a native decoder under `cbor-x`, which reads files of the system.
+ * Omits code that the daemon never calls but would load at every start: the messages of
+ * `zod` in other languages, HTTP/2 support of `got`, compression and the log writer of
+ * `hdr-histogram-js` (histograms are only read in the process), and the search of `cbor-x`
+ * for its native decoder, which reads files of the system.
  */
-const leaveOut = {
-  name: 'leave-out',
+const omitUnused = {
+  name: 'omit-unused',
   setup(bundle) {
     const replace = (filter, contents) =>
       bundle.onLoad({filter}, () => ({contents, loader: 'js'}));
@@ -52,9 +52,9 @@
     );
     bundle.onResolve({filter: /^cbor-extract$/}, () => ({
       path: 'cbor-extract',
-      namespace: 'left-out',
+      namespace: 'omitted',
     }));
-    bundle.onLoad({filter: /.*/, namespace: 'left-out'}, () => ({
+    bundle.onLoad({filter: /.*/, namespace: 'omitted'}, () => ({
       contents: 'module.exports = undefined;',
       loader: 'js',
     }));
@@ -70,7 +70,7 @@
   target: 'node20',
   minifyWhitespace: true,
   minifySyntax: true,
-  plugins: [leaveOut],
+  plugins: [omitUnused],
   banner: {js: '(function (require, module, exports) {'},
   footer: {js: '})'},
   logLevel: 'error',
@@ -79,14 +79,15 @@
 copyFileSync('scripts/start_bundle.cjs', 'target/sedgefalld.cjs');
 copyFileSync('scripts/early_signals.cjs', 'target/early_signals.cjs');
 
-// Run for a moment, before a store that does not answer, so that what every start
-// runs is compiled; the rest is compiled when it is first called.
+// Runs the daemon briefly with an address of the store that does not answer, so that the
+// functions that run at every start are in the code cache. V8 compiles the others when they
+// are first called.
 writeFileSync(SETTINGS, WARM_UP_SETTINGS);
 process.env.SEDGEFALL_BOOT = SETTINGS;
 const script = new Script(readFileSync(BUNDLE, 'utf8'), {filename: BUNDLE});
 const start = script.runInThisContext();
 setTimeout(() => {
-  writeFileSync(COMPILED, script.createCachedData());
+  writeFileSync(CODE_CACHE, script.createCachedData());
   process.exit(0);
 }, WARM_UP_MS);
 start(createRequire(import.meta.url), {exports: {}}, {});
--- a/scripts/early_signals.cjs
+++ b/scripts/early_signals.cjs
@@ -1,3 +1,4 @@
-// A signal to reload settings may come while the daemon still loads, and would end it.
-// The settings are read after that, and again where their file has changed.
+// Ignores SIGHUP (reload the settings) while the daemon is loading, since it would terminate
+// the process. No change is lost: the settings are read after loading, and again when their
+// file has changed.
 process.on('SIGHUP', () => undefined);
--- a/scripts/reporter.cjs
+++ b/scripts/reporter.cjs
@@ -1,4 +1,5 @@
-// Mocha reporter: the usual dots and failures, then the counts as CI reads them.
+// Mocha reporter: prints the output of the dot reporter, then the counts in the format that
+// CI parses.
 // Failures listed in KNOWN-RED.txt are printed and do not fail the run.
 const {existsSync, readFileSync} = require('node:fs');
 const {reporters} = require('mocha');
@@ -28,7 +29,10 @@
   }
 }
 
-/** Titles before the first "|" of each line; see the file's own head. */
+/**
+ * Returns the titles in KNOWN-RED.txt: the text before the first "|" of each line. A title
+ * also covers all tests whose full title begins with it.
+ */
 function readKnownRed() {
   if (!existsSync('KNOWN-RED.txt')) {
     return [];
--- a/scripts/start_bundle.cjs
+++ b/scripts/start_bundle.cjs
@@ -1,5 +1,5 @@
-// Starts the bundled daemon from the code that was compiled for it, if that
-// fits this V8; otherwise V8 compiles the bundle anew and says nothing.
+// Starts the bundled daemon with its code cache. If this version of V8 rejects the cache, it
+// compiles the bundle again without a message.
 require('./early_signals.cjs');
 const {readFileSync} = require('node:fs');
 const {join} = require('node:path');
--- a/scripts/vary_site.mjs
+++ b/scripts/vary_site.mjs
@@ -1,6 +1,7 @@
-// Writes a copy of a site file with its rates, sizes, places, speeds, targets and
-// customers changed by factors from a half to two, drawn from a seed: deployments
-// that nothing was fitted to. The copy belongs outside the repository.
+// Writes a copy of a site file in which rates, sizes, slots, speeds, latency targets and the
+// limits of customers are multiplied by random factors between 0.5 and 2, drawn from a seed.
+// The copies are deployments to which no constant was fitted. Keep them outside the
+// repository.
 //
 //     node scripts/vary_site.mjs SITE.toml FOLDER SEED
 import {readFileSync, writeFileSync} from 'node:fs';
@@ -15,7 +16,7 @@
 }
 
 let state = seed;
-/** Draws a number from 0 to 1 (mulberry32). */
+/** Returns a pseudo-random number from 0 to 1 (mulberry32). */
 function draw() {
   state = (state + 0x6d2b79f5) | 0;
   let mixed = Math.imul(state ^ (state >>> 15), 1 | state);
@@ -23,9 +24,9 @@
   return ((mixed ^ (mixed >>> 14)) >>> 0) / 2 ** 32;
 }
 
-/** Draws a factor from 1 / most to most, as likely below 1 as above. */
-function drawFactor(most) {
-  return Math.round(most ** (2 * draw() - 1) * 100) / 100;
+/** Returns a factor from 1 / maxFactor to maxFactor; below and above 1 are equally likely. */
+function drawFactor(maxFactor) {
+  return Math.round(maxFactor ** (2 * draw() - 1) * 100) / 100;
 }
 
 const factors = {
@@ -39,10 +40,11 @@
 };
 const document = parse(readFileSync(site, 'utf8'));
 
-function scale(holder, keys, factor, round = value => value) {
+/** Multiplies the numeric members among `keys` by a factor; absent ones stay absent. */
+function scale(table, keys, factor, round = value => value) {
   for (const key of keys) {
-    if (typeof holder?.[key] === 'number') {
-      holder[key] = round(holder[key] * factor);
+    if (typeof table?.[key] === 'number') {
+      table[key] = round(table[key] * factor);
     }
   }
 }
@@ -53,18 +55,18 @@
   }
 }
 for (const {slots, llm, ...service} of document.services) {
-  const known = document.services.find(({name}) => name === service.name);
-  scale(known, ['slots'], llm ? factors.places : 1, Math.round);
-  scale(known.llm, ['batch'], factors.places, Math.round);
-  scale(known.llm, ['step_ms', 'step_ms_per_slot'], 1 / factors.speed);
-  scale(known.llm, ['prefill_tokens_per_ms'], factors.speed);
+  const entry = document.services.find(({name}) => name === service.name);
+  scale(entry, ['slots'], llm ? factors.places : 1, Math.round);
+  scale(entry.llm, ['batch'], factors.places, Math.round);
+  scale(entry.llm, ['step_ms', 'step_ms_per_slot'], 1 / factors.speed);
+  scale(entry.llm, ['prefill_tokens_per_ms'], factors.speed);
 }
-for (const kind of document.classes) {
-  scale(kind, ['aim_ms'], factors.targets, Math.round);
-  if (kind.stream !== undefined) {
-    scale(kind.stream.prompt_tokens, ['mean', 'max'], factors.prompts);
-    scale(kind.stream.pieces, ['mean', 'max'], factors.answers);
-    for (const part of kind.stream.chain ?? []) {
+for (const requestClass of document.classes) {
+  scale(requestClass, ['aim_ms'], factors.targets, Math.round);
+  if (requestClass.stream !== undefined) {
+    scale(requestClass.stream.prompt_tokens, ['mean', 'max'], factors.prompts);
+    scale(requestClass.stream.pieces, ['mean', 'max'], factors.answers);
+    for (const part of requestClass.stream.chain ?? []) {
       scale(part.tokens, ['mean', 'max'], factors.prompts);
     }
   }
