--- a/src/peering/host_reports.ts
+++ b/src/peering/host_reports.ts
@@ -7,32 +7,40 @@
 import {WorkSum} from './work_sum.js';
 import {WorkSummary} from './work_summary.js';
 
-/** Whose work a report covers. */
+/** Which hosts a report covers. */
 const Scope = {
-  /** One host, as it reports itself. */
+  /** The sender alone. */
   HOST: 'host',
   ...MemberScope,
 } as const;
 type Scope = (typeof Scope)[keyof typeof Scope];
 
-/** The last report of the work of one host, or of several together. */
+/**
+ * The last report of the work of one host, or of several together: their requests in
+ * flight at each server, the prompt tokens that are not yet computed, and the demand of
+ * each customer.
+ */
 interface ReportedWork {
   readonly scope: Scope;
   /** Host that sent the report. */
   readonly reporter: string;
-  /** Data centre of that host. */
+  /** Data centre of the reporter. */
   readonly dataCentre: string;
   /** Number of hosts that the report covers. */
   readonly hosts: number;
   readonly work: HostWork;
   readonly byServer: ReadonlyMap<string, ServerLoad>;
+  /** Whether one of the covered hosts holds the duties. */
   readonly holdsDuties: boolean;
-  /** See `WorkSummary.hops`. */
+  /**
+   * 1 if the reporter forwarded the summary of all hosts of an aggregator, else 0; see
+   * `WorkSummary.hops`.
+   */
   readonly hops: number;
   readonly receivedMs: number;
 }
 
-/** The last report of a host's own work. */
+/** The last report of another host about its own work alone. */
 export interface OwnReport {
   readonly work: HostWork;
   /** Time since the report arrived, in milliseconds. */
@@ -44,26 +52,29 @@
   readonly clock: Clock;
   /** Data centre of this host. */
   readonly dataCentre: string;
-  /** Age beyond which a report's loads no longer count, in milliseconds. */
+  /**
+   * Age beyond which a report is stale, in milliseconds: only the demand in it is still
+   * counted.
+   */
   readonly staleMs: number;
-  /** Age beyond which a report is dropped, in milliseconds. */
+  /** Age beyond which a report expires, in milliseconds: nothing in it is counted. */
   readonly goneMs: number;
 }
 
-/** Reports that count together, as selected at one time. */
+/** Reports that together cover each host at most once, as selected at one time. */
 interface ReportSelection {
   readonly selectedMs: number;
   readonly reports: readonly ReportedWork[];
 }
 
 /**
- * Time for which a selection of reports is reused, in milliseconds: each request needs
- * it once for each candidate server.
+ * Time for which a selection of reports is reused, in milliseconds: for each request, the
+ * load from other hosts is needed for each candidate server.
  */
 const SELECTION_MS = 10;
 /**
- * Age up to which the summary of a data centre is kept when another of its hosts sends
- * one that covers fewer hosts, in milliseconds.
+ * Age below which the summary of a data centre is kept when another host of that data
+ * centre sends one that covers fewer hosts, in milliseconds.
  */
 const MAX_KEPT_SUMMARY_AGE_MS = 1000;
 
@@ -74,8 +85,12 @@
  * and the summary of a data centre replaces the reports of its hosts.
  */
 export class HostReports {
+  /**
+   * The last report of each host under `host NAME`, the last summary of each other data
+   * centre under `centre NAME`, and the last summary of all hosts under `all`.
+   */
   private readonly reports = new Map<string, ReportedWork>();
-  /** Reports that count, by their maximum age. */
+  /** Selections by the maximum age of their reports, in milliseconds. */
   private readonly selections = new Map<number, ReportSelection>();
 
   constructor(private readonly options: HostReportsOptions) {}
@@ -91,9 +106,11 @@
   }
 
   /**
-   * Adds the summary of another data centre. If two of its hosts send summaries, the one
-   * that covers more hosts counts as long as it is sent.
-   * @returns Whether the summary replaces one of the same sender.
+   * Adds the summary of another data centre. If two of its hosts send summaries, one that
+   * covers fewer hosts than the known one is ignored until the known one is
+   * `MAX_KEPT_SUMMARY_AGE_MS` old.
+   * @returns Whether the summary replaces one of the same sender. Only then does the
+   *   caller count the admitted units that it reports.
    */
   addCentre(from: PeerIdentity, summary: WorkSummary): boolean {
     const key = `centre ${from.dataCentre}`;
@@ -117,7 +134,7 @@
 
   /**
    * Adds the summary of all other hosts.
-   * @returns Whether the summary replaces one of the same sender.
+   * @returns Whether the summary replaces one of the same sender; see `addCentre`.
    */
   addAll(from: PeerIdentity, summary: WorkSummary): boolean {
     const known = this.reports.get('all');
@@ -130,12 +147,15 @@
     return known?.reporter === from.host;
   }
 
-  /** Returns whether the summary of all hosts is recent enough to replace the others. */
+  /** Returns whether there is a summary of all hosts that is not stale. */
   hasSummaryOfAll(): boolean {
     return this.getAgeOfAllMs() <= this.options.staleMs;
   }
 
-  /** Drops all reports, after a pause that the monotonic clock has not counted. */
+  /**
+   * Discards all reports, after the machine was suspended: its monotonic clock does not
+   * count that time, so the reports look more recent than they are.
+   */
   forget(): void {
     this.reports.clear();
     this.selections.clear();
@@ -147,7 +167,10 @@
     return all === undefined ? Number.POSITIVE_INFINITY : this.getAgeMs(all);
   }
 
-  /** Lists the load of a server from other hosts. */
+  /**
+   * Lists the load that other hosts put on a server: one entry for each selected report
+   * or summary that includes the server and is not stale.
+   */
   listLoadsAt(server: string): HostLoad[] {
     const loads: HostLoad[] = [];
     for (const report of this.selectReports(this.options.staleMs)) {
@@ -159,20 +182,23 @@
     return loads;
   }
 
-  /** Sums the requests of other hosts in flight at the servers that a function selects. */
-  sumRunning(picks: (server: string) => boolean): number {
+  /**
+   * Sums the in-flight requests of other hosts at the servers that a function selects, by
+   * reports that are not stale.
+   */
+  sumRunning(isIncluded: (server: string) => boolean): number {
     let sum = 0;
     for (const {work} of this.selectReports(this.options.staleMs)) {
       for (const {server, running} of work.loads) {
-        sum += picks(server) ? running : 0;
+        sum += isIncluded(server) ? running : 0;
       }
     }
     return sum;
   }
 
   /**
-   * Sums a customer's demand at other hosts, in units per second. Includes reports up
-   * to `goneMs` old.
+   * Sums a customer's demand at other hosts, in units per second, as its rate limit counts
+   * them. Includes stale reports, until they expire.
    */
   sumDemand(customer: string): number {
     let sum = 0;
@@ -184,7 +210,10 @@
     return sum;
   }
 
-  /** Counts the hosts whose demand is known. Includes reports up to `goneMs` old. */
+  /**
+   * Counts the other hosts whose demand is known: those that the reports cover from which
+   * `sumDemand` takes it.
+   */
   countTold(): number {
     let count = 0;
     for (const {hosts} of this.selectReports(this.options.goneMs)) {
@@ -193,7 +222,10 @@
     return count;
   }
 
-  /** Sums the prompt tokens per second of a service at the hosts with recent reports. */
+  /**
+   * Sums the prompt tokens per second that the servers of a service compute for other
+   * hosts, by reports that are not stale.
+   */
   sumPrefill(service: string): number {
     let sum = 0;
     for (const {work} of this.selectReports(this.options.staleMs)) {
@@ -204,7 +236,10 @@
     return sum;
   }
 
-  /** Returns whether another host holds the duties, by recent reports. */
+  /**
+   * Returns whether another host holds the duties, as it reports itself or as a summary
+   * reports; stale reports do not count.
+   */
   hearsHolder(): boolean {
     for (const {holdsDuties} of this.selectReports(this.options.staleMs)) {
       if (holdsDuties) {
@@ -214,19 +249,24 @@
     return false;
   }
 
-  /** Returns whether another host of this data centre holds the duties. */
+  /**
+   * Returns whether another host of this data centre holds the duties, as it reports
+   * itself to this host; summaries and stale reports do not count.
+   */
   knowsHolderHere(): boolean {
-    return this.listHere().some(({holdsDuties}) => holdsDuties);
+    return this.listSelfReportsInOwnCentre().some(
+      ({holdsDuties}) => holdsDuties,
+    );
   }
 
-  /** Sums the work of the other hosts of this data centre. */
+  /** Sums the work of the other hosts of this data centre that report to this host. */
   sumHere(): WorkSum {
-    return this.sum(this.listHere());
+    return this.sum(this.listSelfReportsInOwnCentre());
   }
 
   /**
    * Sums the work of all other hosts from their own reports and the summaries of other
-   * data centres.
+   * data centres, without the summary of all hosts; see `KnownHosts.listConfirmed`.
    */
   sumConfirmed(): WorkSum {
     const recent = this.listRecent(this.options.staleMs);
@@ -234,18 +274,22 @@
   }
 
   /**
-   * Returns the summary of all other hosts that an aggregator sent, to forward it;
-   * `undefined` if there is none. It is forwarded once only: hosts that forwarded it to
+   * Returns the summary of all other hosts that an aggregator sent, to forward it to
+   * another host; `undefined` if there is none, if it is stale, or if the sender had
+   * itself forwarded it. It is forwarded over one hop only: hosts that forwarded it to
    * each other would keep it from expiring.
    */
   sumForwarded(): WorkSum | undefined {
     const all = this.reports.get('all');
-    const isFirst =
+    const isForwardable =
       all !== undefined && all.hops === 0 && this.hasSummaryOfAll();
-    return isFirst ? this.sum([all]) : undefined;
+    return isForwardable ? this.sum([all]) : undefined;
   }
 
-  /** Lists the last own reports of hosts, by host. */
+  /**
+   * Returns the reports of other hosts about their own work alone that are not stale, by
+   * host.
+   */
   listOwnReports(): Map<string, OwnReport> {
     const ownReports = new Map<string, OwnReport>();
     for (const report of this.listRecent(this.options.staleMs)) {
@@ -267,7 +311,7 @@
     return sum;
   }
 
-  private listHere(): ReportedWork[] {
+  private listSelfReportsInOwnCentre(): ReportedWork[] {
     const {dataCentre, staleMs} = this.options;
     return [...this.reports.values()].filter(
       report =>
@@ -294,7 +338,10 @@
     });
   }
 
-  /** Lists the reports up to a maximum age, so that no host is covered twice. */
+  /**
+   * Selects reports up to a maximum age, so that no host is covered twice. Removes
+   * expired reports.
+   */
   private selectReports(maxAgeMs: number): readonly ReportedWork[] {
     const nowMs = this.options.clock.monotonicMs();
     const known = this.selections.get(maxAgeMs);
@@ -328,9 +375,12 @@
   }
 }
 
-/** Omits the reports of hosts that a summary of their data centre covers. */
+/**
+ * Omits the reports of hosts whose data centre has a summary among the reports, and the
+ * summary of all hosts.
+ */
 function omitCovered(recent: readonly ReportedWork[]): ReportedWork[] {
-  const summed = new Set(
+  const summarisedCentres = new Set(
     recent
       .filter(({scope}) => scope === Scope.CENTRE)
       .map(({dataCentre}) => dataCentre),
@@ -338,6 +388,6 @@
   return recent.filter(
     ({scope, dataCentre}) =>
       scope === Scope.CENTRE ||
-      (scope === Scope.HOST && !summed.has(dataCentre)),
+      (scope === Scope.HOST && !summarisedCentres.has(dataCentre)),
   );
 }
--- a/src/peering/known_hosts.ts
+++ b/src/peering/known_hosts.ts
@@ -9,18 +9,23 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly self: HostAddress;
-  /** Age beyond which a report no longer counts, in milliseconds. */
+  /**
+   * Age beyond which a report of a host, or a peer's list of hosts, is stale, in
+   * milliseconds: it no longer shows that a host is alive.
+   */
   readonly staleMs: number;
-  /** Time without a report after which a host is dropped, in milliseconds. */
+  /** Time since a host was last alive after which it expires, in milliseconds. */
   readonly goneMs: number;
 }
 
-/** A host, and when it was last known to be alive. */
 interface KnownHost {
   address: HostAddress;
-  /** When it was last known to be alive, monotonic milliseconds. */
+  /**
+   * When it was last found to be alive, or was added or got another address because
+   * another source named it, monotonic milliseconds.
+   */
   aliveMs: number;
-  /** When it last reported itself, monotonic milliseconds. */
+  /** When its own last report arrived, monotonic milliseconds. */
   reportedMs: number;
 }
 
@@ -31,54 +36,57 @@
   readonly hosts: readonly HostAddress[];
 }
 
-/** Time for which an unreachable host is skipped. */
+/** Time for which the ranking of aggregators omits an unreachable host. */
 interface SkippedHost {
   /** Monotonic milliseconds. */
   readonly untilMs: number;
   readonly skipMs: number;
 }
 
-/** Which hosts a peer's list covers. */
+/** Which hosts a list covers that a peer sends. */
 export const MemberScope = {
-  /** Hosts of its data centre that report to it. */
+  /** The peer, and the hosts of its data centre that report to it. */
   CENTRE: 'centre',
-  /** All hosts that it knows to be alive. */
+  /** The peer, and the hosts of all data centres that it reports as alive. */
   ALL: 'all',
 } as const;
 export type MemberScope = (typeof MemberScope)[keyof typeof MemberScope];
 
-/** Hosts that a peer has reported as alive. */
+/** The last list of hosts of one peer, which reports them as alive. */
 interface ReportedMembers {
   readonly scope: MemberScope;
   /** Version that the peer gave the list. */
   readonly version: number;
   readonly hosts: ReadonlySet<string>;
+  /** When the peer last sent or confirmed the list, monotonic milliseconds. */
   reportedMs: number;
 }
 
 /**
  * Maximum number of hosts, this one included, with a full mesh of heartbeats. In a
- * larger fleet, heartbeats cost a host more than the requests that it serves.
+ * larger fleet, heartbeats cost a host more than the requests that it serves. Since
+ * `hosts` does not contain this host, the fleet is larger if its size is at least this.
  */
 const FULL_MESH_HOSTS = 12;
 /**
- * Time for which an unreachable host is skipped at first, in milliseconds: enough for a
- * stopped process to restart. Doubles with each further failure.
+ * Time for which the ranking of aggregators omits an unreachable host at first, in
+ * milliseconds: enough for a stopped process to restart. Doubles with each further
+ * failure, up to `MAX_SKIP_MS`.
  */
 const MIN_SKIP_MS = 2000;
 /**
- * Upper bound of that time, in milliseconds: a host that was partitioned is to be used
- * again soon after.
+ * Maximum time for which the ranking of aggregators omits an unreachable host, in
+ * milliseconds: a host that was partitioned is to be used again soon after.
  */
 const MAX_SKIP_MS = 8000;
 /** Age up to which a ranking is reused, in milliseconds. */
 const RANKING_MS = 200;
-/** Interval between checks of which hosts are alive, in a large fleet, in ms. */
+/** Minimum interval between updates of `aliveMs` in a large fleet, in milliseconds. */
 const REFRESH_MS = 100;
-/** Age up to which this host's position among all hosts is reused, in milliseconds. */
-const TURN_MS = 100;
-/** Share of the largest capacity from which a host counts as large. */
-const LARGE_SHARE = 0.8;
+/** Age up to which the result of `getTurn` is reused, in milliseconds. */
+const POSITION_MS = 100;
+/** Share of the highest capacity from which a host is preferred as an aggregator. */
+const HIGH_CAPACITY_SHARE = 0.8;
 
 /** The other entry hosts, with their addresses and whether they are alive. */
 export class KnownHosts {
@@ -86,13 +94,17 @@
   private readonly members = new Map<string, ReportedMembers>();
   private readonly skipped = new Map<string, SkippedHost>();
   private readonly rankings = new Map<string, Ranking>();
-  private turn: Turn | undefined;
-  private turnMs = Number.NEGATIVE_INFINITY;
+  private position: Turn | undefined;
+  private positionMs = Number.NEGATIVE_INFINITY;
   private refreshedMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: KnownHostsOptions) {}
 
-  /** Adds a host that another source names, or updates its address. */
+  /**
+   * Adds a host that another source than the host itself names, such as a peer, or
+   * updates its address. Has no effect for this host, for an address that is known
+   * already, and while the last report of the host itself is not stale.
+   */
   addAddress(address: HostAddress): void {
     const {self, clock, log} = this.options;
     const known = this.hosts.get(address.host);
@@ -102,8 +114,8 @@
     ) {
       return;
     }
-    if (known !== undefined && !this.isOld(known.reportedMs)) {
-      // The address that a host reports itself takes precedence over other sources.
+    if (known !== undefined && !this.isStale(known.reportedMs)) {
+      // The address in a host's own report takes precedence over other sources.
       return;
     }
     log.info('host_known', {peer: address.host, address: address.address});
@@ -116,7 +128,7 @@
     });
   }
 
-  /** Adds a host that reports itself, or updates its address. */
+  /** Adds a host whose own report has arrived, or updates its address. */
   addSelfReport(address: HostAddress): void {
     const nowMs = this.options.clock.monotonicMs();
     const aliveMs = nowMs;
@@ -125,11 +137,13 @@
   }
 
   /**
-   * Sets the hosts that a peer reports as alive.
+   * Sets the list of hosts that a peer reports as alive.
    * @param source - The peer.
    * @param scope - Which hosts the list covers.
    * @param version - Version of the list.
-   * @param members - The list; `undefined` if this host has acknowledged the version.
+   * @param members - The list; `undefined` if the peer omitted it because this host has
+   *   acknowledged its version. Such a report renews the list that this host has of the
+   *   peer if the scope and the version are the same; else it has no effect.
    */
   addMembers(
     source: string,
@@ -152,25 +166,37 @@
     this.members.set(source, {scope, version, hosts, reportedMs});
   }
 
-  /** Returns the version of the list known from a peer, to acknowledge it. */
+  /**
+   * Returns the version of the last list of hosts that a peer sent; this host
+   * acknowledges the list with it.
+   */
   getMembersVersion(source: string): number | undefined {
     return this.members.get(source)?.version;
   }
 
-  /** Records that a host could not be reached, or stopped responding. */
+  /**
+   * Records that a host could not be reached, or stopped responding. The ranking of
+   * aggregators then omits it for some time.
+   * @param address - IP address and port of the host.
+   */
   addUnreachable(address: string): void {
     const nowMs = this.options.clock.monotonicMs();
     for (const [host, known] of this.hosts) {
       if (known.address.address === address) {
-        const lastMs = this.skipped.get(host)?.skipMs ?? MIN_SKIP_MS / 2;
-        const skipMs = Math.min(MAX_SKIP_MS, lastMs * 2);
+        const previousSkipMs =
+          this.skipped.get(host)?.skipMs ?? MIN_SKIP_MS / 2;
+        const skipMs = Math.min(MAX_SKIP_MS, previousSkipMs * 2);
         this.skipped.set(host, {untilMs: nowMs + skipMs, skipMs});
         this.rankings.clear();
       }
     }
   }
 
-  /** Discards all reports, after a pause that the monotonic clock has not counted. */
+  /**
+   * Discards what hosts have reported, after the machine was suspended: its monotonic
+   * clock does not count that time, so the reports look more recent than they are. The
+   * hosts, their addresses and the times they were last alive are kept.
+   */
   forgetReports(): void {
     this.members.clear();
     for (const known of this.hosts.values()) {
@@ -178,7 +204,7 @@
     }
   }
 
-  /** Returns every host that may be serving, except this one. */
+  /** Returns every known host that has not expired, alive or not, except this one. */
   listAddresses(): HostAddress[] {
     this.refresh();
     return [...this.hosts.values()].map(({address}) => address);
@@ -196,12 +222,12 @@
     return alive;
   }
 
-  /** Returns the hosts of this data centre that report to this host. */
+  /** Returns the hosts of this data centre whose own report to this host is not stale. */
   listReportingHere(): HostAddress[] {
     const reporting: HostAddress[] = [];
     for (const {address, reportedMs} of this.hosts.values()) {
-      const isHere = address.dataCentre === this.options.self.dataCentre;
-      if (isHere && !this.isOld(reportedMs)) {
+      const isInOwnCentre = address.dataCentre === this.options.self.dataCentre;
+      if (isInOwnCentre && !this.isStale(reportedMs)) {
         reporting.push(address);
       }
     }
@@ -210,33 +236,41 @@
 
   /**
    * Returns the hosts that this host can confirm as alive: those that report to it, and
-   * those that report to another aggregator. Hosts known only from a list of all hosts
-   * are not included, or two hosts could keep a dead one alive for each other.
+   * those on a peer's list of its data centre (`MemberScope.CENTRE`). Hosts known only
+   * from a peer's list of all hosts are not included: two hosts could otherwise keep
+   * reporting a terminated one to each other as alive.
    */
   listConfirmed(): HostAddress[] {
     const confirmed: HostAddress[] = [];
     for (const [host, {address, reportedMs}] of this.hosts) {
-      if (!this.isOld(reportedMs) || this.isMember(host, MemberScope.CENTRE)) {
+      if (
+        !this.isStale(reportedMs) ||
+        this.isMember(host, MemberScope.CENTRE)
+      ) {
         confirmed.push(address);
       }
     }
     return confirmed;
   }
 
-  /** Returns how many hosts may be serving, this one included. */
+  /** Returns how many known hosts have not expired, alive or not, this one included. */
   countHosts(): number {
     this.refresh();
     return this.hosts.size + 1;
   }
 
-  /** Returns the position of this host among those that may be serving, by name. */
+  /**
+   * Returns the position of this host, by name, among the known hosts that have not
+   * expired. It determines which permits for rate-limited servers are this host's. A
+   * position up to `POSITION_MS` old is reused.
+   */
   getTurn(): Turn {
     const nowMs = this.options.clock.monotonicMs();
-    if (this.turn === undefined || nowMs - this.turnMs >= TURN_MS) {
-      this.turn = this.findTurn();
-      this.turnMs = nowMs;
+    if (this.position === undefined || nowMs - this.positionMs >= POSITION_MS) {
+      this.position = this.findPosition();
+      this.positionMs = nowMs;
     }
-    return this.turn;
+    return this.position;
   }
 
   /** Returns how many hosts are alive, this one included. */
@@ -244,20 +278,28 @@
     return this.listAlive().length + 1;
   }
 
-  /** Returns whether all hosts that may be serving are alive. */
+  /** Returns whether all known hosts that have not expired are alive. */
   hearsAll(): boolean {
     return this.countAlive() === this.countHosts();
   }
 
-  /** Returns whether most of the hosts that may be serving are alive. */
+  /**
+   * Returns whether more than half of the known hosts that have not expired are alive;
+   * this host counts as one of them.
+   */
   hearsMost(): boolean {
     return this.countAlive() > this.countHosts() / 2;
   }
 
-  /** Returns whether a host is alive, as reported by itself or by a peer. */
+  /**
+   * Returns whether a host is alive: it has reported itself, or a peer's list names it,
+   * and the report or list is not stale.
+   */
   isAlive(host: string): boolean {
     if (
-      !this.isOld(this.hosts.get(host)?.reportedMs ?? Number.NEGATIVE_INFINITY)
+      !this.isStale(
+        this.hosts.get(host)?.reportedMs ?? Number.NEGATIVE_INFINITY,
+      )
     ) {
       return true;
     }
@@ -267,7 +309,7 @@
     );
   }
 
-  /** Returns whether a peer's list of all hosts includes a host. */
+  /** Returns whether a peer's list of all hosts that is not stale includes a host. */
   isInListOfAll(host: string): boolean {
     return this.isMember(host, MemberScope.ALL);
   }
@@ -279,11 +321,12 @@
   }
 
   /**
-   * Ranks the hosts of a data centre as aggregators: those that this host can reach,
-   * large ones first. Hosts with the same knowledge compute the same ranking. Unreachable
-   * hosts are tried again from time to time, or two parts of a partitioned data centre
-   * would stay apart.
-   * @param dataCentre - The data centre; this host's own includes this host.
+   * Ranks the hosts of a data centre as aggregators, those with a high capacity first.
+   * Hosts that know the same hosts and capacities, and omit the same hosts, compute the
+   * same ranking. A host that could not be reached is omitted for a limited time only:
+   * the two parts of a partitioned data centre would otherwise not connect again.
+   * @param dataCentre - The data centre. The ranking of this host's own data centre
+   *   includes this host.
    */
   rankAggregators(dataCentre: string): readonly HostAddress[] {
     const nowMs = this.options.clock.monotonicMs();
@@ -330,26 +373,26 @@
     const byName = new Map(candidates.map(known => [known.host, known]));
     const ranked = rankByRendezvous(dataCentre, [...byName.keys()]);
     const sorted = ranked.map(host => byName.get(host) ?? self);
-    const isLarge = ({capacity = 0}: HostAddress) =>
-      capacity >= maxCapacity * LARGE_SHARE;
+    const hasHighCapacity = ({capacity = 0}: HostAddress) =>
+      capacity >= maxCapacity * HIGH_CAPACITY_SHARE;
     return [
-      ...sorted.filter(isLarge),
-      ...sorted.filter(known => !isLarge(known)),
+      ...sorted.filter(hasHighCapacity),
+      ...sorted.filter(known => !hasHighCapacity(known)),
     ];
   }
 
-  private findTurn(): Turn {
+  private findPosition(): Turn {
     this.refresh();
-    let place = 0;
+    let preceding = 0;
     for (const host of this.hosts.keys()) {
-      place += host < this.options.self.host ? 1 : 0;
+      preceding += host < this.options.self.host ? 1 : 0;
     }
-    return {hosts: this.hosts.size + 1, place};
+    return {hosts: this.hosts.size + 1, place: preceding};
   }
 
   private isMember(host: string, wanted: MemberScope): boolean {
     for (const {scope, hosts, reportedMs} of this.members.values()) {
-      if (scope === wanted && !this.isOld(reportedMs) && hosts.has(host)) {
+      if (scope === wanted && !this.isStale(reportedMs) && hosts.has(host)) {
         return true;
       }
     }
@@ -361,16 +404,16 @@
     return this.options.clock.monotonicMs() < untilMs;
   }
 
-  private isOld(reportedMs: number): boolean {
+  private isStale(reportedMs: number): boolean {
     return this.options.clock.monotonicMs() - reportedMs > this.options.staleMs;
   }
 
-  /** Records which hosts are alive, and drops those that have not been for `goneMs`. */
+  /** Records which hosts are alive, and removes those that have expired. */
   private refresh(): void {
     const {clock, goneMs, log} = this.options;
     const nowMs = clock.monotonicMs();
-    const isMany = this.hosts.size >= FULL_MESH_HOSTS;
-    if (isMany && nowMs - this.refreshedMs < REFRESH_MS) {
+    const exceedsFullMesh = this.hosts.size >= FULL_MESH_HOSTS;
+    if (exceedsFullMesh && nowMs - this.refreshedMs < REFRESH_MS) {
       return;
     }
     this.refreshedMs = nowMs;
--- a/src/peering/peer_words.ts
+++ b/src/peering/peer_words.ts
@@ -21,14 +21,18 @@
 import {SummaryMessages} from './summary_messages.js';
 import {UsageMessages} from './usage_messages.js';
 
-/** Requests between hosts. */
+/** Requests that a host sends to a peer. */
 const messageSchema = z.discriminatedUnion('kind', [
   z.object({kind: z.literal('heartbeat'), report: hostReportSchema}),
   z.object({
+    /** Requests the rows of a replica that changed after a version. */
     kind: z.literal('news'),
+    /** Name of the replica. */
     replica: z.string(),
+    /** Version up to which the sender has all changes. */
     after: z.number().int().min(0),
   }),
+  // Requests the counts of requests that began in a window, of all known hosts.
   z.object({kind: z.literal('usage'), window: z.number().int().min(0)}),
   rowsSchema,
   rolloutQuestionSchema,
@@ -38,20 +42,23 @@
  * Creates and processes the messages between entry hosts.
  *
  * In a small fleet every host reports to every other. In a large one (see
- * `KnownHosts.isLarge`), a host reports to the aggregators of its data centre. These sum
- * the reports, exchange the sums across data centres, and reply to each host with a
- * summary of all the others.
+ * `KnownHosts.isLarge`), a host reports to the aggregators of its data centre. These
+ * summarise the reports, exchange the summaries across data centres, and reply to each
+ * host that requests it with a summary of all the others.
  */
 export class PeerWords {
   private readonly summaries: SummaryMessages;
   private readonly rows: RowMessages;
   private readonly usage: UsageMessages;
   private readonly reports: ReportMessages;
-  private readonly receiver: ReportReceiver;
+  private readonly reportReceiver: ReportReceiver;
   private readonly suspects: ChangeWords<SuspectPage>;
   private readonly limits: ChangeWords<LimitPage>;
   private readonly pauses: PauseWatch;
-  /** Hosts that request the summary of all hosts; they are sent new rows at once. */
+  /**
+   * Peers whose last heartbeat requested the summary of all hosts. This host forwards new
+   * rows to them without waiting for the next heartbeat.
+   */
   private readonly summaryReceivers = new Set<string>();
 
   constructor(private readonly options: PeerWordsOptions) {
@@ -62,13 +69,13 @@
       () => toGaugeValue(options.readAge.getOldestMs()),
     );
     this.pauses = new PauseWatch(clock);
-    this.receiver = new ReportReceiver(options);
+    this.reportReceiver = new ReportReceiver(options);
     this.suspects = createSuspectWords(options.quarantine);
     this.limits = createLimitWords(options.limits);
     this.summaries = new SummaryMessages(options);
     this.rows = new RowMessages({
       ...options,
-      listReceivers: isFirst => this.listReceivers(isFirst),
+      listReceivers: wasRead => this.listRowReceivers(wasRead),
     });
     this.usage = new UsageMessages({
       ...options,
@@ -112,7 +119,7 @@
   receiveReply(peer: PeerIdentity, body: unknown, sentMs: number): void {
     const parsed = heartbeatReplySchema.safeParse(body);
     if (!parsed.success) {
-      this.receiver.refuse(peer, parsed.error.issues[0]?.message ?? '');
+      this.reportReceiver.refuse(peer, parsed.error.issues[0]?.message ?? '');
       return;
     }
     const {all, news, sharedMs, usualOffsetMs} = parsed.data;
@@ -123,8 +130,8 @@
     if (usualOffsetMs !== undefined) {
       trueTime.addPeer(peer.host, usualOffsetMs);
     }
-    this.receiver.addAll(peer, all);
-    this.receiver.addCentre(peer, parsed.data.centre);
+    this.reportReceiver.addAll(peer, all);
+    this.reportReceiver.addCentre(peer, parsed.data.centre);
     this.rows.compare(peer.host, news ?? {}, sentMs);
     this.suspects.receive(peer, parsed.data.suspects);
     this.limits.receive(peer, parsed.data.limits);
@@ -138,7 +145,7 @@
   async handle(request: unknown, from: PeerIdentity): Promise<unknown> {
     const parsed = messageSchema.safeParse(request);
     if (!parsed.success) {
-      this.receiver.refuse(from, parsed.error.issues[0]?.message ?? '');
+      this.reportReceiver.refuse(from, parsed.error.issues[0]?.message ?? '');
       throw new Error(
         'peer message does not match the schema; run all hosts on the same release',
       );
@@ -164,13 +171,20 @@
     }
   }
 
-  /** Requests the usage of a window from the hosts that know it. */
+  /**
+   * Requests the counts of requests in a window from the hosts that together know the
+   * counts of every host: all others, or in a large fleet the aggregator of each data
+   * centre.
+   */
   async gatherUsage(window: number): Promise<void> {
     await this.usage.gather(window);
   }
 
   /**
-   * Forwards new rows of a replica to the hosts that receive them through this host.
+   * In a large fleet, forwards new rows of a replica without waiting for the next
+   * heartbeat: to the peers that request the summary of all hosts from this one and, if
+   * this host is an aggregator and has read the rows, to other data centres. In a small
+   * fleet, peers request new rows themselves.
    * @param replica - Name of the replica.
    * @param wasRead - Whether the rows were read from the table by this host, rather than
    *   received from a peer.
@@ -190,7 +204,8 @@
       return this.reports.createReport(reply);
     }
     return peer.dataCentre === self.dataCentre
-      ? this.reports.createMemberReport(peer, reply === undefined)
+      ? // Without a reply, this is the first heartbeat on the connection.
+        this.reports.createMemberReport(peer, reply === undefined)
       : this.reports.createCentreReport(peer, reply);
   }
 
@@ -203,7 +218,7 @@
   }
 
   private receive(report: HostReport, from: PeerIdentity): void {
-    this.receiver.addReport(report, from);
+    this.reportReceiver.addReport(report, from);
     this.suspects.receive(from, report.suspects);
     this.limits.receive(from, report.limits);
     if (report.wantsAll === true) {
@@ -214,15 +229,20 @@
     this.rows.compare(from.host, report.news);
   }
 
-  private listReceivers(isFirst: boolean): string[] {
-    const far = new Set(isFirst ? this.listFarHosts() : []);
+  /**
+   * Lists the connected peers to which this host forwards new rows.
+   * @param wasRead - Whether this host has read the rows from the table, so that no other
+   *   host has sent them to other data centres.
+   */
+  private listRowReceivers(wasRead: boolean): string[] {
+    const remote = new Set(wasRead ? this.listRemoteHosts() : []);
     return this.options
       .listConnected()
-      .filter(host => this.summaryReceivers.has(host) || far.has(host));
+      .filter(host => this.summaryReceivers.has(host) || remote.has(host));
   }
 
-  /** Lists the hosts of other data centres, if this host is an aggregator. */
-  private listFarHosts(): string[] {
+  /** Lists the hosts of other data centres if this host is an aggregator, else none. */
+  private listRemoteHosts(): string[] {
     const {known, self} = this.options;
     if (!known.isAggregator()) {
       return [];
@@ -239,16 +259,20 @@
     if (!known.isLarge()) {
       return known.listAddresses().map(({host}) => host);
     }
-    const first = known
+    const aggregators = known
       .listDataCentres()
       .map(dataCentre => known.rankAggregators(dataCentre)[0]?.host ?? '');
-    return first.filter(host => host !== '' && host !== self.host);
+    return aggregators.filter(host => host !== '' && host !== self.host);
   }
 
-  /** Discards what peers reported if the monotonic clock has missed a pause since. */
+  /**
+   * Discards what peers have reported if, by its clocks, the machine was suspended since
+   * the last check: its monotonic clock does not count that time, so the reports look more
+   * recent than they are.
+   */
   private checkForPause(): void {
     if (this.pauses.hasPaused()) {
-      this.options.log.warn('pause_noticed', {forgets: 'word of peers'});
+      this.options.log.warn('pause_noticed', {forgets: 'reports of peers'});
       this.options.reports.forget();
       this.options.known.forgetReports();
       this.options.readAge.forget();
--- a/src/peering/peer_words_options.ts
+++ b/src/peering/peer_words_options.ts
@@ -24,6 +24,7 @@
   readonly metrics: Metrics;
   readonly known: KnownHosts;
   readonly reports: HostReports;
+  /** Times at which the replicas last matched the tables. */
   readonly readAge: ReadAge;
   readonly fleet: Fleet;
   readonly quota: Quota;
