--- a/src/relay/relay_attempt.ts
+++ b/src/relay/relay_attempt.ts
@@ -17,9 +17,9 @@
 export const AttemptOutcome = {
   /** The complete answer was relayed to the caller. */
   DONE: 'done',
-  /** The server answered with an error status. */
+  /** The server answered with a status other than 200 to 299. */
   FAILED: 'failed',
-  /** The request did not run at this server, and will not. */
+  /** The server did not run the request, and will not run it later. */
   NOT_RUN: 'not-run',
   /** No complete answer arrived; the request may have run. */
   LOST: 'lost',
@@ -32,11 +32,17 @@
   readonly outcome: AttemptOutcome;
   /** Description of the failure; empty on success. */
   readonly detail: string;
-  /** Outcome as it counts for the health of the server. */
+  /**
+   * Outcome as it counts for the health of the server: an error status below 500 counts
+   * as `SUCCEEDED`, although `outcome` is `FAILED`.
+   */
   readonly serverOutcome: FlightEnd;
-  /** Time until the first byte of the answer, in milliseconds; absent if none arrived. */
+  /**
+   * Time from the start of the attempt until the first byte of the answer, in
+   * milliseconds; absent if none arrived.
+   */
   readonly firstMs?: number;
-  /** Duration of the attempt, in milliseconds. */
+  /** Time from the start to the end of the attempt, in milliseconds. */
   readonly wholeMs: number;
   /** Error response of the server, for relaying. */
   readonly failure?: BufferedAnswer;
@@ -54,11 +60,16 @@
   readonly predictedMs: number;
   /** Index of the attempt, from 0, for the log. */
   readonly number: number;
+  /** Time until the deadline, in milliseconds. */
   readonly remainingMs: number;
+  /** Rank of the request at the server, from 0 (most urgent) to 9; see `rankUrgency`. */
   readonly urgency: number;
-  /** Copy of the run's memory from which the server continues. */
+  /** Copy of the run's KV cache from which the server continues. */
   readonly copy?: RunCopy;
-  /** Whether another server may be tried if this one does not respond. */
+  /**
+   * Whether another server may be tried if this one does not respond. Only then the time
+   * without a response is limited.
+   */
   readonly mayRetry: boolean;
 }
 
@@ -79,26 +90,33 @@
 const OK_FIRST = 200;
 const OK_LAST = 299;
 const SERVER_ERROR = 500;
-/** Bytes of the answer to a repeatable request that are buffered until it is complete. */
+/**
+ * Bytes of the answer to a repeatable request that are buffered until it is complete.
+ * Beyond them, the answer is relayed as it arrives, and no other server can replace it.
+ */
 const MAX_BUFFERED_BYTES = 65_536;
 /** Longest body of an error response that is kept for relaying. */
 const MAX_FAILURE_BODY_BYTES = 262_144;
-/** Time beyond the predicted one within which a stream must begin, in milliseconds. */
+/**
+ * Time beyond the predicted one within which a stream must begin, if another server may
+ * be tried, in milliseconds.
+ */
 const FIRST_EVENT_MARGIN_MS = 1200;
 /**
- * Longest pause between events of a stream that another server may continue, in
+ * Longest pause between events of a stream, if another server may be tried, in
  * milliseconds.
  */
 const EVENT_GAP_TIMEOUT_MS = 700;
 /**
- * Part of the route's timeout for which a plain request waits for one server to respond.
+ * Share of the route's timeout within which the first bytes of an answer that is not a
+ * stream must arrive, if another server may be tried.
  */
-const PLAIN_TIMEOUT_SHARE = 0.5;
+const NON_STREAM_TIMEOUT_SHARE = 0.5;
 
 /** Sends a request once to one server and relays the answer. */
 export class RelayAttempt {
-  /** Absent if no other server may be tried. */
-  private readonly silence: SilenceWatch | undefined;
+  /** Limits the time without a response; absent if no other server may be tried. */
+  private readonly responseWatch: SilenceWatch | undefined;
   private readonly inFlight: FleetFlight;
   private readonly sentMs: number;
   private readonly abortSignal: AbortSignal;
@@ -121,7 +139,7 @@
       predictedMs,
       urgency,
     );
-    this.silence = this.createSilenceWatch();
+    this.responseWatch = this.createResponseWatch();
     this.abortSignal = this.createAbortSignal();
   }
 
@@ -149,7 +167,7 @@
       result.kind === ExchangeKind.ANSWERED
         ? await this.receive(result)
         : this.fail(result);
-    this.silence?.stop();
+    this.responseWatch?.stop();
     return attemptResult;
   }
 
@@ -169,22 +187,22 @@
   private createAbortSignal(): AbortSignal {
     const {cancelled, serverLost} = this.context;
     const signals = [cancelled, serverLost];
-    if (this.silence !== undefined) {
-      signals.push(this.silence.getSignal());
+    if (this.responseWatch !== undefined) {
+      signals.push(this.responseWatch.getSignal());
     }
     return endWithAny(signals);
   }
 
-  /** Limits the time without a response if another server may be tried. */
-  private createSilenceWatch(): SilenceWatch | undefined {
+  /** Starts to limit the time without a response if another server may be tried. */
+  private createResponseWatch(): SilenceWatch | undefined {
     const {streaming, timeoutMs} = this.context.request.route;
     if (!this.params.mayRetry) {
       return undefined;
     }
-    const firstMs = streaming
+    const firstByteTimeoutMs = streaming
       ? this.params.predictedMs + FIRST_EVENT_MARGIN_MS
-      : timeoutMs * PLAIN_TIMEOUT_SHARE;
-    return new SilenceWatch(this.options.clock, firstMs);
+      : timeoutMs * NON_STREAM_TIMEOUT_SHARE;
+    return new SilenceWatch(this.options.clock, firstByteTimeoutMs);
   }
 
   private async receive(answer: ExchangeAnswer): Promise<AttemptResult> {
@@ -206,6 +224,7 @@
   private async receiveFailure(answer: ExchangeAnswer): Promise<AttemptResult> {
     this.recordFirstByte();
     const failure = await readAnswer(answer, MAX_FAILURE_BODY_BYTES);
+    // A status below 500 is no fault of the server: it counts as a success for its health.
     const isServerFault = answer.status >= SERVER_ERROR;
     const detail = `${this.params.server.id}: status ${answer.status}`;
     return this.finish(isServerFault ? FlightEnd.FAILED : FlightEnd.SUCCEEDED, {
@@ -215,7 +234,10 @@
     });
   }
 
-  /** Ends the in-flight request and creates the result. */
+  /**
+   * Reports to the fleet that the request is no longer in flight, with the outcome for
+   * the health of the server, and creates the result.
+   */
   private finish(
     serverOutcome: FlightEnd,
     result: Pick<
@@ -238,7 +260,8 @@
     if (streaming) {
       await this.context.answer.relayStream(answer, () => {
         this.recordFirstByte();
-        this.silence?.touch(EVENT_GAP_TIMEOUT_MS);
+        // From now on, the pauses between events are limited.
+        this.responseWatch?.touch(EVENT_GAP_TIMEOUT_MS);
         this.inFlight.addProgress();
       });
       return;
@@ -246,7 +269,7 @@
     this.recordFirstByte();
     const maxBufferedBytes = repeat === Repeat.ANY ? MAX_BUFFERED_BYTES : 0;
     await this.context.answer.relayBody(answer, maxBufferedBytes, () => {
-      this.silence?.touch(timeoutMs);
+      this.responseWatch?.touch(timeoutMs);
     });
   }
 
@@ -266,6 +289,7 @@
     const {kind, detail} = failure;
     this.context.record.logFailure(server.id, number, kind, detail);
     return this.finish(this.getServerOutcome(failure), {
+      // Both kinds of failed exchange have the value of an `AttemptOutcome`.
       outcome: kind,
       detail: `${server.id}: ${detail}`,
       ...(this.isServerLoss(failure)
@@ -297,8 +321,10 @@
     ) {
       return FlightEnd.NEUTRAL;
     }
+    // A server to which no byte could be sent is treated as one that does not respond.
     const isUnresponsive =
-      this.silence?.getSignal().aborted === true || failure.unsent === true;
+      this.responseWatch?.getSignal().aborted === true ||
+      failure.unsent === true;
     return isUnresponsive ? FlightEnd.SILENT : FlightEnd.FAILED;
   }
 }
--- a/src/relay/relay_run.ts
+++ b/src/relay/relay_run.ts
@@ -18,7 +18,7 @@
 import {RunObserver, ObservedResult} from './run_observer.js';
 import {LimitedDecision, ServerChoice} from './server_choice.js';
 
-/** Time before the deadline within which no attempt is begun, in milliseconds. */
+/** Remaining time until the deadline below which no attempt begins, in milliseconds. */
 const MIN_REMAINING_MS = 5;
 /**
  * Attempts beyond the route's limit, for servers that report that they did not run the
@@ -30,11 +30,14 @@
 /** Created once: an error per request would cost a stack trace each. */
 const DEADLINE_PASSED = new Error('deadline passed');
 /**
- * Largest random addition to a retry delay, as a share of it, so that refused callers
- * do not all retry at once.
+ * Largest random addition to the retry delay after a refusal because of the servers' rate
+ * limits, as a share of that delay, so that refused callers do not all retry at once.
  */
 const RETRY_JITTER = 0.3;
-/** Shortest retry delay after a refusal for lack of capacity, in seconds. */
+/**
+ * Shortest retry delay after a refusal for lack of capacity, in seconds. A random
+ * addition at most doubles it.
+ */
 const NO_CAPACITY_RETRY_S = 0.25;
 
 /** Parameters of a `RelayRun`. */
@@ -49,17 +52,22 @@
   readonly disconnected: AbortSignal;
 }
 
-/** Serves one request by one or more attempts, one after the other. */
+/**
+ * Serves one request by one or more attempts, one after the other. In the comments here,
+ * a run is the execution of the request by a server.
+ */
 export class RelayRun {
-  private readonly expired = new AbortController();
+  /** Aborted when the deadline passes. */
+  private readonly deadline = new AbortController();
+  /** Aborted when the caller disconnects or the deadline passes. */
   private readonly cancelled: AbortSignal;
   private readonly attempts: Attempts;
   private readonly record: RelayRecord;
   private readonly observer: RunObserver;
   private readonly answer: AnswerRelay;
   private readonly choice: ServerChoice;
-  /** Error response of a server, relayed unless a later attempt succeeds. */
-  private serverFailure: BufferedAnswer | undefined;
+  /** Last error response of a server, relayed if no later attempt succeeds. */
+  private errorResponse: BufferedAnswer | undefined;
   private outcome = 'answered';
   private failureDetail = '';
   /** Server of the current attempt. */
@@ -67,7 +75,7 @@
   /** Aborts the current attempt when its server has terminated. */
   private serverLost = new AbortController();
   private relocation: Promise<void> | undefined;
-  /** Server where the run continues, and the copy of its memory there. */
+  /** Server where the run continues, and the copy of its KV cache there. */
   private copiedRun: CopiedRun | undefined;
 
   private readonly request: RelayRequest;
@@ -86,7 +94,7 @@
     this.service = service;
     this.sink = sink;
     this.disconnected = disconnected;
-    this.cancelled = endWithAny([disconnected, this.expired.signal]);
+    this.cancelled = endWithAny([disconnected, this.deadline.signal]);
     this.answer = new AnswerRelay(sink, request.lastEventId);
     this.record = new RelayRecord(options, request);
     this.observer = new RunObserver(options, {
@@ -109,7 +117,7 @@
     this.options.retryBudget.addRequest(this.service);
     this.options.limits.addRequest(this.service, rankUrgency(this.request));
     const timer = setTimeout(
-      () => this.expired.abort(DEADLINE_PASSED),
+      () => this.deadline.abort(DEADLINE_PASSED),
       this.getRemainingMs(),
     );
     try {
@@ -127,8 +135,9 @@
   }
 
   /**
-   * Relocates the request from a server that leaves, if it runs there and may continue
-   * only with a copy of its memory.
+   * Relocates the run from a server that is leaving, if it is there and the request may
+   * not be run a second time: a stream of such a request can continue only from a copy of
+   * the run's KV cache.
    */
   relocate(server: FleetServer): void {
     const {streaming, repeat} = this.request.route;
@@ -140,8 +149,9 @@
   }
 
   /**
-   * Aborts the attempt at an incarnation of a server that a later one has replaced, and
-   * discards a copy of the run there: both are lost.
+   * Aborts the current attempt if it is at this incarnation of a server, and discards the
+   * copy of the run if it is there. Called after a later incarnation of the server has
+   * registered: everything that ran at this one is lost.
    */
   abandonServer(server: FleetServer): void {
     if (this.copiedRun?.server.id === server.id) {
@@ -162,6 +172,7 @@
         cancelled: this.cancelled,
       })) ?? this.copiedRun;
     const {copiedRun} = this;
+    // Without a new copy, it is absent, or one from another server made before.
     if (copiedRun?.copy.source !== from.address) {
       return;
     }
@@ -178,6 +189,10 @@
     return this.server?.id === server.id && !this.cancelled.aborted;
   }
 
+  /**
+   * Chooses the server where the run is to continue, and takes one of its permits. Also
+   * excludes the server that the run leaves from further attempts.
+   */
   private chooseDestination(from: FleetServer): FleetServer | undefined {
     this.attempts.exclude(from.id);
     const destination = this.choice.getServer(
@@ -191,7 +206,7 @@
 
   /** Makes one attempt; returns whether another one follows. */
   private async makeAttempt(): Promise<boolean> {
-    if (this.isOver()) {
+    if (this.endIfOver()) {
       return false;
     }
     const blockedMs = this.observer.getBlockedMs(this.answer.hasBegun());
@@ -215,12 +230,13 @@
     if (server === undefined || decision.chosen === undefined) {
       return this.failWithoutServer(decision);
     }
-    const unreachable = this.refuseDelayedStream(decision.chosen);
-    if (unreachable !== undefined) {
-      this.outcome = unreachable.kind;
-      this.sink.refuse(unreachable);
+    const refusal = this.checkPredictedWait(decision.chosen);
+    if (refusal !== undefined) {
+      this.outcome = refusal.kind;
+      this.sink.refuse(refusal);
       return false;
     }
+    // `chooseDestination` has taken the permit for a copied run.
     if (copiedRun === undefined) {
       this.options.limits.take(server.id);
     }
@@ -267,20 +283,24 @@
     return {...result, serverTerminated: serverLost.aborted};
   }
 
-  /** Handles an attempt that brought no answer; returns whether another one follows. */
+  /**
+   * Handles an attempt after which the answer is not complete, or which got an error
+   * response; returns whether another one follows.
+   */
   private handleFailure(server: FleetServer, result: AttemptResult): boolean {
     this.failureDetail = result.detail;
-    this.serverFailure = result.failure ?? this.serverFailure;
+    this.errorResponse = result.failure ?? this.errorResponse;
     const mayHaveRun = result.outcome !== AttemptOutcome.NOT_RUN;
     const mayRetry = this.attempts.fail(server.id, mayHaveRun);
-    if (this.isOver()) {
+    if (this.endIfOver()) {
       return false;
     }
-    const isFinal =
+    // If no answer was begun, a response below 500 is relayed to the caller, not retried.
+    const isFinalResponse =
       result.failure !== undefined &&
       result.failure.status < SERVER_ERROR &&
       !this.answer.hasBegun();
-    if (isFinal || !mayRetry || (mayHaveRun && !this.canContinue())) {
+    if (isFinalResponse || !mayRetry || (mayHaveRun && !this.canContinue())) {
       return this.fail();
     }
     return true;
@@ -299,15 +319,18 @@
     return repeat === Repeat.RESUME && after !== undefined;
   }
 
-  /** Ends a request whose caller has disconnected or whose deadline has passed. */
-  private isOver(): boolean {
+  /**
+   * Ends the request if its caller has disconnected, or its deadline has passed or is
+   * less than `MIN_REMAINING_MS` away; returns whether it has ended.
+   */
+  private endIfOver(): boolean {
     if (this.disconnected.aborted) {
       this.outcome = 'caller-left';
       this.sink.breakOff();
       return true;
     }
     if (
-      this.expired.signal.aborted ||
+      this.deadline.signal.aborted ||
       this.getRemainingMs() < MIN_REMAINING_MS
     ) {
       this.addDetail('deadline passed');
@@ -318,10 +341,12 @@
   }
 
   /**
-   * Ends the request without a complete answer: breaks off one that was begun, else
-   * relays the error response of a server, else refuses the request. Returns `false`.
-   * @param refusal - Used where no server may have run the request; left out, it is
-   *   refused for lack of capacity.
+   * Ends the request without a complete answer. An answer that was begun is broken off.
+   * Otherwise the last error response of a server is relayed, or if there is none, the
+   * request is refused.
+   * @param refusal - Reason to refuse the request if no server may have run it; if absent,
+   *   the reason is lack of capacity.
+   * @returns Always `false`: no attempt follows.
    */
   private fail(refusal?: Problem): false {
     if (this.answer.hasBegun()) {
@@ -329,10 +354,10 @@
       this.sink.breakOff();
       return false;
     }
-    if (this.serverFailure !== undefined) {
-      this.outcome = `server-status-${this.serverFailure.status}`;
-      this.sink.begin(this.serverFailure.status, this.serverFailure.headers);
-      void this.sink.write(this.serverFailure.body).then(() => this.sink.end());
+    if (this.errorResponse !== undefined) {
+      this.outcome = `server-status-${this.errorResponse.status}`;
+      this.sink.begin(this.errorResponse.status, this.errorResponse.headers);
+      void this.sink.write(this.errorResponse.body).then(() => this.sink.end());
       return false;
     }
     const problem = this.createProblem(refusal);
@@ -342,8 +367,8 @@
   }
 
   /**
-   * Ends a request for which no server is available, or only servers whose rate limits
-   * are used up.
+   * Ends the request because no server is available for it, or only servers that rate
+   * limits exclude. Returns `false`.
    */
   private failWithoutServer({withheld}: LimitedDecision): false {
     const {limits, random} = this.options;
@@ -360,20 +385,25 @@
   }
 
   /**
-   * Refuses a new stream before its first attempt if its predicted wait exceeds the
-   * first-token target: its caller would give up, and it would delay other requests.
+   * Checks a new stream before its first attempt; one whose predicted wait exceeds the
+   * first-token target must not be sent: its caller would give up, and it would delay
+   * other requests. Returns the reason to refuse it; `undefined` to send it.
    */
-  private refuseDelayedStream({waitMs = 0}: ScoredServer): Problem | undefined {
+  private checkPredictedWait({waitMs = 0}: ScoredServer): Problem | undefined {
     const {request, options, answer} = this;
-    const isFirst = this.attempts.count() === 1 && this.copiedRun === undefined;
+    const isFirstAttempt =
+      this.attempts.count() === 1 && this.copiedRun === undefined;
     const isResumed = answer.getLastEventId() !== undefined;
-    if (!request.route.streaming || !isFirst || isResumed) {
+    if (!request.route.streaming || !isFirstAttempt || isResumed) {
       return undefined;
     }
     return decideByWait(waitMs, request.route.targetMs, options.random);
   }
 
-  /** Appends to the detail of the last failure. */
+  /**
+   * Appends to the detail that is recorded if the request is not answered; it may be the
+   * first part of it.
+   */
   private addDetail(detail: string): void {
     this.failureDetail =
       this.failureDetail === '' ? detail : `${this.failureDetail}; ${detail}`;
@@ -381,7 +411,7 @@
 
   private createProblem(refusal: Problem | undefined): Problem {
     if (this.attempts.mayHaveRun()) {
-      return this.expired.signal.aborted
+      return this.deadline.signal.aborted
         ? problems.deadlinePassed(Ran.UNKNOWN)
         : problems.serverLost(this.failureDetail);
     }
--- a/src/relay/server_choice.ts
+++ b/src/relay/server_choice.ts
@@ -15,13 +15,16 @@
   readonly attempts: Attempts;
 }
 
-/** A routing decision, and the servers that rate limits excluded from it. */
+/** A routing decision that takes account of the rate limits of servers. */
 export interface LimitedDecision extends RoutingDecision {
-  /** Servers that are excluded only by their rate limits. */
+  /** Ids of the servers that rate limits exclude from the choice. */
   readonly withheld: readonly string[];
 }
 
-/** Part of its target that a request may use up where this saves prefill. */
+/**
+ * Share of the first-token target that a request may use up, since its arrival, where the
+ * choice of a server saves prefill.
+ */
 const SLACK_SHARE = 0.4;
 
 /** Chooses the servers for the attempts at one request. */
@@ -31,7 +34,7 @@
     private readonly params: ChoiceParams,
   ) {}
 
-  /** Chooses a server for the next attempt, by what is known now. */
+  /** Chooses a server for the next attempt from the current state of the servers. */
   choose(): LimitedDecision {
     const isFirst = this.params.attempts.count() <= 1;
     const {service} = this.params;
@@ -41,13 +44,17 @@
   }
 
   /**
-   * Chooses a server of the same version, where a run can continue from a copy of its
-   * memory.
+   * Chooses a server of the same version, where a run can continue from a copy of its KV
+   * cache.
    */
   chooseSameVersion(from: FleetServer): LimitedDecision {
     return this.chooseAllowed(({version}) => version === from.version);
   }
 
+  /**
+   * Chooses a server that meets a condition.
+   * @param allows - The condition; `undefined` allows all servers of the service.
+   */
   private chooseAllowed(allows: AllowsServer | undefined): LimitedDecision {
     const {fleet, limits, random} = this.options;
     const {request, service, attempts} = this.params;
@@ -59,6 +66,9 @@
       excluded: attempts.excluded,
       allows: excludeServers(allows, withheld),
     });
+    // Servers to which any request should go now, to check whether they are still limited.
+    // If there are any, the choice is among them alone. Servers that are ejected after
+    // failures, or stalled, are not checked.
     const trialServers = candidates.filter(
       ({server, ejected}) =>
         !ejected && !attempts.excluded.has(server) && limits.isTrialDue(server),
@@ -83,7 +93,12 @@
       : this.options.fleet.get(chosen.server);
   }
 
-  /** Lists the servers that are excluded only by their rate limits. */
+  /**
+   * Lists the ids of the servers of the service that rate limits exclude. If a candidate
+   * without a limit is ready, these are the servers without a permit. If all candidates
+   * are limited, permits are reserved for more urgent requests; see
+   * `ServerLimits.listWithheld`.
+   */
   private listRateLimited(allows: AllowsServer | undefined): readonly string[] {
     const {fleet, limits} = this.options;
     if (!limits.hasAny()) {
@@ -94,24 +109,25 @@
       server.state === FleetState.READY &&
       !attempts.excluded.has(server.id) &&
       allows?.(server) !== false;
-    const hasUnlimited = fleet.hasReady(
+    const hasUnlimitedCandidate = fleet.hasReady(
       service,
       server => isCandidate(server) && !limits.isLimited(server.id),
     );
-    if (hasUnlimited) {
+    if (hasUnlimitedCandidate) {
       // Few of many servers are limited, so the others are not checked.
       return limits
         .listUsedUp()
         .filter(id => fleet.get(id)?.service === service);
     }
     const servers = fleet.listServers(service).filter(isCandidate);
-    const names = servers.map(({id}) => id);
-    return limits.listWithheld(service, names, rankUrgency(request));
+    const ids = servers.map(({id}) => id);
+    return limits.listWithheld(service, ids, rankUrgency(request));
   }
 
   /**
-   * Returns the time that the first token may still take without loss, in milliseconds.
-   * It is less than the rest of the target, as a margin for unexpected delays.
+   * Returns the time from now beyond which a later first token weighs more in the choice
+   * of a server, in milliseconds; see `RoutingRequest.slackMs`. It is less than the rest
+   * of the target, as a margin for unexpected delays.
    */
   private getSlackMs(): number {
     const {route, arrivedMs} = this.params.request;
@@ -120,14 +136,14 @@
   }
 }
 
-/** Adds the servers excluded by rate limits to the condition for a server. */
+/** Narrows a condition for servers: it also excludes the servers in a list. */
 function excludeServers(
   allows: AllowsServer | undefined,
-  withheld: readonly string[],
+  excluded: readonly string[],
 ): AllowsServer | undefined {
-  if (withheld.length === 0) {
+  if (excluded.length === 0) {
     return allows;
   }
-  const names = new Set(withheld);
-  return server => !names.has(server.id) && allows?.(server) !== false;
+  const excludedIds = new Set(excluded);
+  return server => !excludedIds.has(server.id) && allows?.(server) !== false;
 }
