--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -9,8 +9,12 @@
 import {FleetServer, FleetState} from './fleet_server.js';
 import {KnowledgeQuery} from './knowledge_query.js';
 import {HostLoad, PREFILL_TOKENS_PER_MS, sumPeerWork} from './peer_work.js';
-import {FleetFlight, FlightEnd, TrackedServer} from './tracked_server.js';
-import {PromptPart} from './part_memory.js';
+import {
+  TrackedRequest,
+  RequestOutcome,
+  TrackedServer,
+} from './tracked_server.js';
+import {PromptPart} from './part_cache.js';
 import {PartUpdates, SentPart} from './part_updates.js';
 import {sumAhead} from './pending_prefill.js';
 
@@ -60,7 +64,7 @@
 const LEAST_URGENT_RANK = Number.MAX_SAFE_INTEGER;
 
 /** In-flight request at a server that is no longer known. */
-const UNTRACKED_REQUEST: FleetFlight = {
+const UNTRACKED_REQUEST: TrackedRequest = {
   addFirstByte: () => undefined,
   addProgress: () => undefined,
   finish: () => undefined,
@@ -101,7 +105,7 @@
    * @param server - The server as it registered itself.
    * @param source - Where the registration was read, for the log.
    */
-  set(server: FleetServer, source: string): void {
+  register(server: FleetServer, source: string): void {
     const latest = this.latestIncarnations.get(server.name);
     if (latest !== undefined && latest.startedMs > server.startedMs) {
       this.handleOutdatedIncarnation(latest, server, source);
@@ -109,16 +113,16 @@
     }
     this.latestIncarnations.set(server.name, server);
     if (latest !== undefined && latest.id !== server.id) {
-      this.update({...latest, state: FleetState.ENDED}, source);
+      this.update({...latest, state: FleetState.TERMINATED}, source);
     }
     this.update(server, source);
   }
 
   /** Marks the latest incarnation of a server as unregistered. */
-  remove(name: string, source: string): void {
+  unregister(name: string, source: string): void {
     const latest = this.latestIncarnations.get(name);
     if (latest !== undefined) {
-      this.update({...latest, state: FleetState.GONE}, source);
+      this.update({...latest, state: FleetState.UNREGISTERED}, source);
     }
     this.removeExpired();
   }
@@ -155,7 +159,7 @@
     switch (tracked?.server.state) {
       case FleetState.DRAINING:
         return true;
-      case FleetState.GONE:
+      case FleetState.UNREGISTERED:
         return tracked.getStateAgeMs() > UNREGISTERED_LEAVING_MS;
       default:
         return false;
@@ -181,7 +185,7 @@
   }
 
   /** Returns whether any server is known. */
-  isKnown(): boolean {
+  hasServers(): boolean {
     return this.servers.size > 0;
   }
 
@@ -245,7 +249,7 @@
    * Returns the prompt tokens per second that this host sends to each service
    * and that are not assumed to be cached.
    */
-  listPrefill(): Demand[] {
+  listPrefillRates(): Demand[] {
     return this.prefill.list();
   }
 
@@ -325,12 +329,12 @@
    * @param predictedMs - Predicted time to the first byte of the answer.
    * @param urgency - Rank of the request at its server; 0 is the most urgent.
    */
-  startFlight(
+  trackRequest(
     id: string,
     parts: readonly PromptPart[],
     predictedMs: number,
     urgency = 0,
-  ): FleetFlight {
+  ): TrackedRequest {
     const tracked = this.servers.get(id);
     if (tracked === undefined) {
       return UNTRACKED_REQUEST;
@@ -343,15 +347,15 @@
     );
   }
 
-  private recordOutcome(id: string, outcome: FlightEnd): void {
-    if (outcome === FlightEnd.NEUTRAL) {
+  private recordOutcome(id: string, outcome: RequestOutcome): void {
+    if (outcome === RequestOutcome.NEUTRAL) {
       return;
     }
-    if (outcome === FlightEnd.SUCCEEDED) {
+    if (outcome === RequestOutcome.SUCCEEDED) {
       this.outliers.addSuccess(id);
       return;
     }
-    if (this.outliers.addFailure(id, outcome === FlightEnd.SILENT)) {
+    if (this.outliers.addFailure(id, outcome === RequestOutcome.UNRESPONSIVE)) {
       this.options.log.warn('server_ejected', {server: id, after: outcome});
     }
   }
@@ -417,7 +421,7 @@
       source,
     });
     if (server.startedMs === 0) {
-      this.remove(server.name, source);
+      this.unregister(server.name, source);
     }
   }
 
--- a/src/journal/book.ts
+++ b/src/journal/book.ts
@@ -1,4 +1,4 @@
-import {Problem, problems, Ran} from '../errors/index.js';
+import {Problem, problems, ExecutionStatus} from '../errors/index.js';
 import {Log} from '../log/index.js';
 import {Clock} from '../time/index.js';
 import {
@@ -32,7 +32,7 @@
   /** Mints a key that works without the table, offered while the table is unavailable. */
   readonly mintKey: () => string;
   /** Longest wait for a record to become durable, in milliseconds. */
-  readonly recordPatienceMs: number;
+  readonly recordTimeoutMs: number;
   /** Pause between attempts at an accepted call, in milliseconds. */
   readonly acceptedRetryMs: number;
   /** Retention of entries, in milliseconds. */
@@ -344,7 +344,7 @@
       }
     }
     if (this.options.clock.monotonicMs() >= order.deadlineMs) {
-      return this.refuse(live, order, problems.deadlinePassed(Ran.NO));
+      return this.refuse(live, order, problems.deadlinePassed(ExecutionStatus.NOT_EXECUTED));
     }
     return this.conclude(live, order, await this.options.dispatch(order));
   }
@@ -396,13 +396,13 @@
     const cancelTimer = new AbortController();
     const timeout = clock
       .sleep(order.deadlineMs - clock.monotonicMs(), cancelTimer.signal)
-      .then(() => fail(problems.deadlinePassed(Ran.UNKNOWN)));
+      .then(() => fail(problems.deadlinePassed(ExecutionStatus.UNKNOWN)));
     const outcome = await Promise.race([
       known.pending ?? this.repeat(known),
       timeout,
     ]);
     cancelTimer.abort();
-    if (outcome.kind === OutcomeKind.FAILED && outcome.problem.ran === Ran.NO) {
+    if (outcome.kind === OutcomeKind.FAILED && outcome.problem.ran === ExecutionStatus.NOT_EXECUTED) {
       known.refusals.set(order.instance, outcome.problem);
     }
     return outcome.kind === OutcomeKind.ANSWERED
@@ -420,7 +420,7 @@
       return {kind: OutcomeKind.MOVED};
     }
     const offered = this.options.mintKey();
-    const problem = problems.storeUnavailable(Ran.NO, offered);
+    const problem = problems.storeUnavailable(ExecutionStatus.NOT_EXECUTED, offered);
     return this.refuse(live, order, problem);
   }
 
@@ -486,7 +486,7 @@
 
   private getRecordTimeoutMs(order: CallOrder): number {
     const remainingMs = order.deadlineMs - this.options.clock.monotonicMs();
-    return Math.max(0, Math.min(remainingMs, this.options.recordPatienceMs));
+    return Math.max(0, Math.min(remainingMs, this.options.recordTimeoutMs));
   }
 }
 
--- a/src/journal/bookkeeper.ts
+++ b/src/journal/bookkeeper.ts
@@ -27,7 +27,7 @@
   /** Returns the names of the live entry hosts, including this one. */
   readonly listLiveHosts: () => readonly string[];
   /** Returns whether an incarnation of a host is known to have terminated. */
-  readonly isGone: (host: string, incarnation: string) => boolean;
+  readonly hasTerminated: (host: string, incarnation: string) => boolean;
   /** Common options of all books. */
   readonly book: Omit<
     BookOptions,
@@ -383,7 +383,7 @@
       unchangedMs: waitedMs,
       self: this.options,
       liveHosts: this.options.listLiveHosts(),
-      hasTerminated: this.options.isGone,
+      hasTerminated: this.options.hasTerminated,
       leaseMs: this.options.leaseMs,
     });
     if (isDue && !this.leaving) {
--- a/src/rollout/rollout_driver.ts
+++ b/src/rollout/rollout_driver.ts
@@ -13,13 +13,13 @@
 import {RolloutOrders} from './rollout_orders.js';
 import {RolloutStore, StoredRollout} from './rollout_store.js';
 import {
-  RolloutAnswer,
-  RolloutQuestionMessage,
+  RolloutReply,
+  RolloutReport,
   RolloutDirective,
 } from './rollout_messages.js';
 import {sumVersionCounts, VersionCounts} from './version_counts.js';
-import {findMajorityVersion} from './version_gate.js';
-import {VersionLedger} from './version_ledger.js';
+import {findMajorityVersion} from './version_selector.js';
+import {VersionCounter} from './version_counter.js';
 
 /** Options of the driver. */
 export interface RolloutDriverOptions {
@@ -29,14 +29,14 @@
   readonly getFence: () => number | undefined;
   readonly orders: RolloutOrders;
   readonly store: RolloutStore;
-  readonly ledger: VersionLedger;
+  readonly counter: VersionCounter;
   /** Host name and incarnation of this process. */
   readonly origin: string;
   readonly hasService: (service: string) => boolean;
   /** Counts the servers of a service that accept work, by version. */
   readonly countReady: (service: string) => ReadonlyMap<string, number>;
   /** Returns the time of the table's clock, in ms; `undefined` until it is known. */
-  readonly getTableMs: () => number | undefined;
+  readonly getReferenceTimeMs: () => number | undefined;
   readonly getBound: () => ExposureBound;
 }
 
@@ -95,7 +95,7 @@
    * @param origin - Name and incarnation of the host.
    * @returns The directive for the host, if this host holds the duty and has one.
    */
-  answer(report: RolloutQuestionMessage, origin: string): RolloutAnswer {
+  handleReport(report: RolloutReport, origin: string): RolloutReply {
     const fence = this.options.getFence();
     if (fence === undefined) {
       return {isHolder: false};
@@ -167,7 +167,7 @@
     version: number,
   ): Promise<StoredRollout | undefined> {
     const {service, to, durationMs, number} = order;
-    const startedMs = this.options.getTableMs();
+    const startedMs = this.options.getReferenceTimeMs();
     if (startedMs === undefined) {
       return undefined;
     }
@@ -207,10 +207,10 @@
   }
 
   private async advance(active: ActiveRollout): Promise<void> {
-    const {clock, ledger, origin, getTableMs} = this.options;
+    const {clock, counter, origin, getReferenceTimeMs} = this.options;
     const {rollout} = active;
-    const nowMs = getTableMs();
-    active.setCounts(origin, ledger.list(rollout.service));
+    const nowMs = getReferenceTimeMs();
+    active.setCounts(origin, counter.list(rollout.service));
     const hasCollectedCounts =
       clock.monotonicMs() - active.dutySinceMs >= COLLECT_COUNTS_MS;
     if (
