--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -27,7 +27,7 @@
 
 /** Additional round-trip time to a server in another data centre. */
 const CROSS_DATA_CENTRE_ROUND_TRIP_MS = 3;
-/** Time an engine takes per token of one stream under moderate load. */
+/** Time an engine takes per generated token of one stream under moderate load. */
 const DECODE_MS = 5;
 /**
  * Assumed processing time of a request at a plain service. Longer times
@@ -35,8 +35,8 @@
  */
 const PLAIN_REQUEST_MS = 80;
 /**
- * Share of the shared parts that their preferred server is assumed to have
- * cached.
+ * Fraction of the tokens in a prompt's shared parts (all parts but the last)
+ * that the preferred server of the prompt is assumed to have cached.
  */
 const PREFERRED_SERVER_CACHED_SHARE = 0.5;
 /** Cache size assumed for an engine if the catalog does not specify it. */
@@ -45,8 +45,9 @@
 
 /**
  * Time after the end of its registration from which a server counts as leaving.
- * A server that leaves keeps serving for seconds after that; a crashed one does
- * not.
+ * A server that leaves on purpose keeps serving for seconds after its
+ * registration has ended; a crashed one does not. After this time, the two are
+ * not told apart: a crashed server counts as leaving, too.
  */
 const UNREGISTERED_LEAVING_MS = 1000;
 
@@ -56,7 +57,7 @@
  */
 const COPIED_RUN_GRACE_MS = 500;
 
-/** Rank behind every other: all pending work is ahead of it. */
+/** Rank that is less urgent than every other: all pending work is ahead of it. */
 const LEAST_URGENT_RANK = Number.MAX_SAFE_INTEGER;
 
 /** In-flight request at a server that is no longer known. */
@@ -74,13 +75,14 @@
   private readonly latestIncarnations = new Map<string, FleetServer>();
   private readonly listeners: ((server: FleetServer) => void)[] = [];
   private readonly outliers: OutlierDetector;
-  private readonly prefill: DemandMeter;
+  /** Measures the uncached prompt tokens per second that are sent, by service. */
+  private readonly prefillRates: DemandMeter;
   private readonly partUpdates: PartUpdates;
   private catalog: Catalog | undefined;
 
   constructor(private readonly options: FleetOptions) {
     this.outliers = new OutlierDetector(options.clock);
-    this.prefill = new DemandMeter(options.clock);
+    this.prefillRates = new DemandMeter(options.clock);
     this.partUpdates = new PartUpdates(options.clock);
   }
 
@@ -95,9 +97,11 @@
   }
 
   /**
-   * Adds or updates a registration. A registration of a later incarnation marks
-   * the one before as terminated. A delayed registration of an earlier
-   * incarnation is ignored.
+   * Adds or updates a registration. Incarnations are ordered by start time; one
+   * with another id and the same start time counts as later. A registration of a
+   * later incarnation marks the one before as terminated. A delayed registration
+   * of an earlier incarnation is logged and otherwise ignored, except that one
+   * without a start time (0) marks the server as unregistered.
    * @param server - The server as it registered itself.
    * @param source - Where the registration was read, for the log.
    */
@@ -114,7 +118,10 @@
     this.update(server, source);
   }
 
-  /** Marks the latest incarnation of a server as unregistered. */
+  /**
+   * Marks the latest incarnation of a server as unregistered. Also drops the
+   * expired incarnations of all servers.
+   */
   remove(name: string, source: string): void {
     const latest = this.latestIncarnations.get(name);
     if (latest !== undefined) {
@@ -140,15 +147,15 @@
     this.publishStateChange(undefined, server, source);
   }
 
-  /** Returns a server. */
+  /** Returns an incarnation of a server by its id; `undefined` if not known. */
   get(id: string): FleetServer | undefined {
     return this.servers.get(id)?.server;
   }
 
   /**
    * Returns whether a server has announced that it leaves, or has been
-   * unregistered for a while. Its termination was then to be expected, whatever
-   * ran there.
+   * unregistered for longer than `UNREGISTERED_LEAVING_MS`. Its termination was
+   * then to be expected, whatever requests ran there.
    */
   isLeaving(id: string): boolean {
     const tracked = this.servers.get(id);
@@ -169,8 +176,8 @@
 
   /**
    * Returns whether a server accepts a run whose KV cache was copied to it. No
-   * other server can resume the run, so a server that started draining only
-   * recently qualifies, too.
+   * other server can resume the run, so a server that started draining less than
+   * `COPIED_RUN_GRACE_MS` ago qualifies, too.
    */
   acceptsCopiedRun(id: string): boolean {
     const tracked = this.servers.get(id);
@@ -205,14 +212,14 @@
   }
 
   /**
-   * Returns whether a function accepts any server of a service that takes new
-   * work.
+   * Returns whether a service has a server that takes new work and that a
+   * function allows.
    */
-  hasReady(service: string, picks: (server: FleetServer) => boolean): boolean {
+  hasReady(service: string, allows: (server: FleetServer) => boolean): boolean {
     for (const {server} of this.servers.values()) {
       const isReady =
         server.service === service && server.state === FleetState.READY;
-      if (isReady && picks(server)) {
+      if (isReady && allows(server)) {
         return true;
       }
     }
@@ -242,11 +249,12 @@
   }
 
   /**
-   * Returns the prompt tokens per second that this host sends to each service
-   * and that are not assumed to be cached.
+   * Returns the rate, in tokens per second, at which this host sends each service
+   * prompt tokens that are not assumed to be cached. Unlike the pending prefill of
+   * a server, it includes tokens that are already computed.
    */
   listPrefill(): Demand[] {
-    return this.prefill.list();
+    return this.prefillRates.list();
   }
 
   /**
@@ -268,7 +276,8 @@
    * Returns what is known about the servers of a service that take new work. Of
    * many servers, only some candidates for the request are returned.
    * @param service - The service.
-   * @param query - The request.
+   * @param query - The request. Without an `urgency` (0 is the most urgent), all
+   *   pending prefill counts as ahead of it.
    */
   listKnowledge(service: string, query: KnowledgeQuery): ServerKnowledge[] {
     const {parts, urgency = LEAST_URGENT_RANK} = query;
@@ -282,7 +291,7 @@
       random: this.options.random,
     });
     const isEngine = this.catalog?.services.get(service)?.engine !== undefined;
-    const known: ServerKnowledge[] = [];
+    const knowledge: ServerKnowledge[] = [];
     for (const tracked of candidates) {
       const {server} = tracked;
       const peers = sumPeerWork(this.options.listPeerLoads(server.id), urgency);
@@ -291,17 +300,22 @@
         server.id === preferredServer
           ? countTokens(shared) * PREFERRED_SERVER_CACHED_SHARE
           : 0;
-      known.push({
+      knowledge.push({
         server: server.id,
         dataCentre: server.dataCentre,
         load: {
+          // All known requests in flight, including those that wait for a slot.
           running: tracked.inFlight + peers.running,
           waiting: 0,
           capacity: server.slots,
           prefillRate: PREFILL_TOKENS_PER_MS * MS_PER_SECOND,
+          // At a plain service, whose requests count as one token each, this is the
+          // time of a whole request.
           decodeMs: isEngine ? DECODE_MS : PLAIN_REQUEST_MS,
+          // Not used in the choice of a server.
           models: [],
         },
+        // Requests of this host are already counted in `running`.
         sentSinceReport: 0,
         inFlight: tracked.inFlight,
         cachedTokens: Math.max(cached, assumedCached),
@@ -315,7 +329,7 @@
         ejected: this.outliers.isEjected(server.id) || tracked.isStalled(),
       });
     }
-    return known;
+    return knowledge;
   }
 
   /**
@@ -323,7 +337,8 @@
    * @param id - The server.
    * @param parts - Parts of the prompt.
    * @param predictedMs - Predicted time to the first byte of the answer.
-   * @param urgency - Rank of the request at its server; 0 is the most urgent.
+   * @param urgency - Rank of the request at its server; 0, the default, is the
+   *   most urgent.
    */
   startFlight(
     id: string,
@@ -336,7 +351,7 @@
       return UNTRACKED_REQUEST;
     }
     const tokens = tracked.countUncached(parts);
-    this.prefill.add(tracked.server.service, tokens);
+    this.prefillRates.add(tracked.server.service, tokens);
     this.partUpdates.add(id, parts);
     return tracked.trackRequest(parts, predictedMs, urgency, outcome =>
       this.recordOutcome(id, outcome),
@@ -402,8 +417,9 @@
 
   /**
    * Logs a registration of an earlier incarnation. One without a start time,
-   * after one with a start time, comes from another writer: the server under
-   * that name must not be used and is marked as unregistered.
+   * after one with a start time, was not written by the server itself and
+   * describes no usable server. The server is therefore marked as unregistered,
+   * so that it gets no new work.
    */
   private handleOutdatedIncarnation(
     latest: FleetServer,
@@ -421,6 +437,7 @@
     }
   }
 
+  /** Drops incarnations that are no longer registered and have expired. */
   private removeExpired(): void {
     for (const [id, tracked] of this.servers) {
       const {server} = tracked;
