--- a/src/quota/quota.ts
+++ b/src/quota/quota.ts
@@ -6,13 +6,16 @@
 import {Counting, PeerSpending} from './peer_spending.js';
 import {Spending} from './spending.js';
 
-/** How far all hosts together may exceed a customer's rate in a window. */
+/**
+ * How far all hosts together may exceed a customer's rate in a window. The
+ * allowed excess is `overage` times the units of the window, plus `slack`.
+ */
 export interface QuotaBound {
   /** Length of the window, in milliseconds. */
   readonly windowMs: number;
-  /** Share of the rate by which it may be exceeded. */
+  /** Fraction of the units of a window, including the burst. */
   readonly overage: number;
-  /** Units by which the rate may be exceeded in addition. */
+  /** Units that are allowed in addition. */
   readonly slack: number;
 }
 
@@ -24,7 +27,7 @@
    * hosts that cannot currently be reached.
    */
   readonly sumPeerDemand: (customer: string) => number;
-  /** Returns how many other hosts have reported that demand. */
+  /** Returns how many other hosts have reported their demand. */
   readonly countTold: () => number;
   /**
    * Returns the number of hosts that may be admitting requests, including this
@@ -39,41 +42,42 @@
 /** State of one customer. */
 interface Balance {
   /** Bucket for this host's share of the rate. */
-  readonly share: Bucket;
+  readonly hostBucket: Bucket;
   /**
    * Bucket for the global rate, from which all known spending of all hosts is
    * taken.
    */
-  readonly whole: Bucket;
+  readonly globalBucket: Bucket;
   /** Units this host has admitted. */
   spent: number;
 }
 
 /**
- * Share of the rate that is divided evenly among hosts, whatever the demand.
+ * Fraction of the rate that is divided evenly among hosts, whatever the demand.
  */
-const EVEN_SHARE = 0.4;
+const EVEN_FRACTION = 0.4;
 /** Minimum demand assumed for a customer; avoids a division by 0. */
 const MIN_DEMAND = 1e-6;
 const MIN_RETRY_MS = 50;
 /**
- * Share of the allowed excess that is used; the rest is a reserve for restarts.
+ * Fraction of the allowed excess that is used; the rest is a reserve for
+ * restarts.
  */
-const USED_MARGIN_SHARE = 0.6;
+const USED_EXCESS_FRACTION = 0.6;
 /**
- * Time until the spending of one host is known to the others: two heartbeats,
- * and the forwarding by aggregators.
+ * Time until the spending of one host is known to the others. It covers two
+ * heartbeat intervals and the forwarding by aggregators.
  */
 const PROPAGATION_MS = 1000;
 /**
- * Maximum share of unreachable hosts with which the global rate is still used.
- * Among many hosts some are always restarting. What these may spend is reserved
- * for them.
+ * Maximum fraction of unreachable hosts with which the global bucket is still
+ * used. Among many hosts some are always restarting. The global bucket is
+ * reduced by their part of the rate, which they may be spending.
  */
-const MAX_UNREACHABLE_SHARE = 0.1;
+const MAX_UNREACHABLE_FRACTION = 0.1;
 /**
- * Number of hosts above which a host's share of a rate is less than a large
- * request.
+ * Number of hosts above which the bucket of one host holds fewer units than a
+ * large request needs.
  */
 const MANY_HOSTS = 32;
 const MS_PER_SECOND = 1000;
@@ -90,9 +94,10 @@
  * be serving customers.
  *
  * Shares alone would refuse requests of a customer that stays within its rate
- * but whose large requests reach the same host. So while hosts are reachable, a
- * request is also admitted if the spending of all hosts is within the global
- * rate, less a reserve for what may be spent before it is reported.
+ * but whose large requests reach the same host. So a request is also admitted if
+ * the spending of all hosts is within the global rate, less a reserve for what
+ * may be spent before it is reported. This applies only while nearly all hosts
+ * are reachable, and once this host has received the demand of its peers.
  */
 export class Quota {
   private readonly balances = new Map<string, Balance>();
@@ -123,8 +128,10 @@
   }
 
   /**
-   * Sums the units that this host and selected origins have admitted.
-   * @param picks - Selects the origins; see `addPeerSpending`.
+   * Sums the units that this host has admitted and those counted for selected
+   * origins. An origin is one incarnation of a host that reports spending, its
+   * own or also that of other hosts.
+   * @param picks - Returns whether to include an origin.
    */
   sumSpending(picks: (origin: string) => boolean): Spending[] {
     const sums = this.peers.sum(picks);
@@ -141,9 +148,9 @@
 
   /**
    * Records a peer's report of all units it has admitted.
-   * @param origin - The reporting host and its incarnation.
+   * @param origin - The reporting incarnation of the peer.
    * @param spending - Its totals, which only increase.
-   * @param counting - Whether this report is counted.
+   * @param counting - Which reports of this origin are counted.
    */
   addPeerSpending(
     origin: string,
@@ -152,13 +159,14 @@
   ): void {
     const counted = this.peers.add(origin, spending, counting);
     for (const {customer, units} of counted) {
-      this.getBalance(customer).whole.spend(units);
+      this.getBalance(customer).globalBucket.spend(units);
     }
   }
 
   /**
    * Admits or refuses a request. The units of an admitted request are
-   * subtracted from its customer's share.
+   * subtracted from this host's bucket and from the global bucket of its
+   * customer. A customer with a rate of 0 or less is unlimited.
    * @param account - The customer.
    * @param units - Units of the request.
    * @returns 0 if it is admitted; otherwise the time until it may be, in
@@ -172,36 +180,37 @@
     this.demand.add(name, units);
     const balance = this.getBalance(name);
     const share = this.getShare(name);
-    const depth = rate.burst + this.getMargin(rate);
-    const reachableShare = this.reachesMostHosts()
-      ? this.getReachableShare()
+    const depth = rate.burst + this.getUsedExcess(rate);
+    // While too many hosts are unreachable, the global bucket decides on no request.
+    const reachableFraction = this.reachesMostHosts()
+      ? this.getReachableFraction()
       : 1;
-    balance.share.setLimits(rate.perSecond * share, depth * share);
-    balance.whole.setLimits(
-      rate.perSecond * reachableShare,
-      rate.burst * reachableShare,
+    balance.hostBucket.setLimits(rate.perSecond * share, depth * share);
+    balance.globalBucket.setLimits(
+      rate.perSecond * reachableFraction,
+      rate.burst * reachableFraction,
     );
     const isWithin =
-      (balance.share.covers(units) &&
-        !this.exceedsGlobalRate(balance, depth * share, units)) ||
+      (balance.hostBucket.covers(units) &&
+        !this.refusesOverdraft(balance, depth * share, units)) ||
       this.isWithinGlobalRate(balance, name, rate, units);
     if (!isWithin) {
-      return Math.max(MIN_RETRY_MS, balance.share.getWaitMs(units));
+      return Math.max(MIN_RETRY_MS, balance.hostBucket.getWaitMs(units));
     }
-    balance.share.spend(units);
-    balance.whole.spend(units);
+    balance.hostBucket.spend(units);
+    balance.globalBucket.spend(units);
     balance.spent += units;
     return 0;
   }
 
-  /** Returns the share of a customer's rate that this host may spend. */
+  /** Returns the share of a customer's rate that this host may spend, 0 to 1. */
   getShare(customer: string): number {
     const hosts = Math.max(1, this.options.countHosts());
     const own = Math.max(MIN_DEMAND, this.demand.get(customer));
     const all = own + this.options.sumPeerDemand(customer);
     return (
-      EVEN_SHARE / hosts +
-      (1 - EVEN_SHARE) * (own / all) * this.getDemandCoverage()
+      EVEN_FRACTION / hosts +
+      (1 - EVEN_FRACTION) * (own / all) * this.getDemandCoverage()
     );
   }
 
@@ -209,22 +218,24 @@
    * Describes the values that decide on a customer's requests now, for the log.
    */
   describe(customer: string): Readonly<Record<string, string>> {
-    const {share, whole} = this.getBalance(customer);
+    const {hostBucket, globalBucket} = this.getBalance(customer);
     const demand =
       this.demand.get(customer) + this.options.sumPeerDemand(customer);
     return {
       share: this.getShare(customer).toFixed(SHARE_DIGITS),
-      share_left: share.getLevel().toFixed(0),
-      whole_left: whole.getLevel().toFixed(0),
+      share_left: hostBucket.getLevel().toFixed(0),
+      whole_left: globalBucket.getLevel().toFixed(0),
       demand: demand.toFixed(0),
     };
   }
 
   /**
    * Returns whether all hosts together are within the rate, as far as this host
-   * knows. What may be spent beyond the rate before hosts receive each other's
-   * reports is reserved. So a burst of a customer within its rate is admitted,
-   * and an overload is not.
+   * knows; a request is then admitted whatever this host's bucket holds. What may
+   * be spent beyond the rate before hosts receive each other's reports is
+   * reserved. So a burst of a customer within its rate is admitted, and an
+   * overload is not. Returns false while too many hosts are unreachable, and
+   * until this host has run for `PROPAGATION_MS`.
    */
   private isWithinGlobalRate(
     balance: Balance,
@@ -234,12 +245,15 @@
   ): boolean {
     const all =
       this.demand.get(customer) + this.options.sumPeerDemand(customer);
-    const excess = Math.max(0, all - rate.perSecond * this.getReachableShare());
-    const reserved = (excess * PROPAGATION_MS) / MS_PER_SECOND;
+    const excessDemand = Math.max(
+      0,
+      all - rate.perSecond * this.getReachableFraction(),
+    );
+    const reserved = (excessDemand * PROPAGATION_MS) / MS_PER_SECOND;
     return (
       this.reachesMostHosts() &&
       this.isWarmedUp() &&
-      balance.whole.covers(units, reserved)
+      balance.globalBucket.covers(units, reserved)
     );
   }
 
@@ -253,12 +267,13 @@
   }
 
   /**
-   * Returns whether a request larger than this host's bucket exceeds the global
-   * rate. With many hosts, such a request is admitted only while all hosts
-   * together are within the rate: otherwise the overdrafts of their buckets
-   * would add up.
+   * Returns whether a request is refused although this host's bucket admits it. A
+   * bucket admits a request larger than itself when half full, and its level
+   * becomes negative. With many hosts, each could do so, and the sum would exceed
+   * the rate. Such a request is then admitted only if the global bucket covers
+   * it, unless too many hosts are unreachable.
    */
-  private exceedsGlobalRate(
+  private refusesOverdraft(
     balance: Balance,
     shareDepth: number,
     units: number,
@@ -269,7 +284,7 @@
       isMany &&
       isLarge &&
       this.reachesMostHosts() &&
-      !balance.whole.covers(units)
+      !balance.globalBucket.covers(units)
     );
   }
 
@@ -278,14 +293,14 @@
    * reachable.
    */
   private reachesMostHosts(): boolean {
-    return 1 - this.getReachableShare() <= MAX_UNREACHABLE_SHARE;
+    return 1 - this.getReachableFraction() <= MAX_UNREACHABLE_FRACTION;
   }
 
   /**
-   * Returns the share of reachable hosts. The rest of the rate is left to the
-   * other hosts.
+   * Returns the fraction of hosts that are reachable. The global bucket gets this
+   * fraction of the rate; the rest is left to the unreachable hosts.
    */
-  private getReachableShare(): number {
+  private getReachableFraction(): number {
     const hosts = Math.max(1, this.options.countHosts());
     return Math.min(1, this.options.countHeard() / hosts);
   }
@@ -294,14 +309,14 @@
    * Returns the part of the allowed excess that may be used for bursts, in
    * units.
    */
-  private getMargin(rate: Rate): number {
+  private getUsedExcess(rate: Rate): number {
     const {windowMs, overage, slack} = this.options.getBound();
     const inWindow = (rate.perSecond * windowMs) / MS_PER_SECOND + rate.burst;
-    return (overage * inWindow + slack) * USED_MARGIN_SHARE;
+    return (overage * inWindow + slack) * USED_EXCESS_FRACTION;
   }
 
   /**
-   * Returns the share of hosts whose demand is known. While not every peer has
+   * Returns the fraction of hosts whose demand is known. While not every peer has
    * reported its demand, only the evenly divided part of the rate is certain.
    */
   private getDemandCoverage(): number {
@@ -316,8 +331,8 @@
     }
     const {clock} = this.options;
     const balance = {
-      share: new Bucket(clock),
-      whole: new Bucket(clock),
+      hostBucket: new Bucket(clock),
+      globalBucket: new Bucket(clock),
       spent: 0,
     };
     this.balances.set(customer, balance);
