--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -19,26 +19,28 @@
 ) => RoutingDecision;
 
 /**
- * Costs within this share of the lowest one, plus `TIE_TOLERANCE_MS`, count as
- * equal. One of the equal servers is drawn at random, so that hosts do not all
- * choose the same one.
+ * A cost counts as equal to the lowest one if it exceeds it by no more than this
+ * fraction of it plus `TIE_TOLERANCE_MS`. One of the servers with equal costs is drawn
+ * at random, so that hosts do not all choose the same one.
  */
-const TIE_TOLERANCE_SHARE = 0.05;
+const TIE_TOLERANCE_FRACTION = 0.05;
 const TIE_TOLERANCE_MS = 2;
 const MAX_RUNNERS_UP = 2;
 /**
- * Weight of a millisecond of the request's own prefill, where the request has
- * slack; waiting time has weight 1. Recomputing a cached part of a prompt
- * delays every stream that runs on the server. With emulated servers (`npm run
- * measure -- --only reuse`), 558,000 shared tokens are recomputed with this
- * weight and 819,000 without it, and the first tokens come equally early.
+ * Additional weight of a millisecond of the request's own prefill, where the
+ * request has slack. The time to the first token, with weight 1, contains this
+ * millisecond already, so its total weight is 4; waiting time has weight 1. Past
+ * the slack, `EXTRA_OVER_SLACK_WEIGHT` is added to both. Recomputing a cached
+ * part of a prompt delays every stream that runs on the server. With emulated servers (`npm run measure -- --only reuse`), 558,000
+ * tokens of shared prompt parts are computed again with this weight and 819,000
+ * without it, and the first tokens come equally early.
  */
-const OWN_PREFILL_WEIGHT = 3;
+const EXTRA_OWN_PREFILL_WEIGHT = 3;
 /**
- * Additional weight of each millisecond by which the first token exceeds the
- * slack: past the slack, the time to the first token is what matters.
+ * Additional weight of each millisecond by which the time to the first token
+ * exceeds the slack: past the slack, the time to the first token is what matters.
  */
-const OVER_SLACK_WEIGHT = 5;
+const EXTRA_OVER_SLACK_WEIGHT = 5;
 
 /** A server with the cost of choosing it, in weighted milliseconds. */
 interface CostedServer extends ScoredServer {
@@ -46,8 +48,10 @@
 }
 
 /**
- * Chooses the server with the lowest cost: without slack, the one with the
- * earliest predicted first token.
+ * Chooses the server with the lowest cost, or one of those with about the lowest
+ * cost at random. The slack of a request is the time to the first token up to
+ * which an earlier one has no benefit for the caller. Without slack, the cost is
+ * the predicted time to the first token.
  *
  * A cached prefix reduces the predicted prefill time and a queue adds its
  * waiting time, so a server that has the prefix is preferred only as long as
@@ -55,6 +59,9 @@
  * prefill. Of many servers, only a random sample and the servers with most of
  * the prefix cached are scored. This spreads the choices of hosts that all see
  * the same delayed load reports.
+ *
+ * The reason in the result is for the log. It tells whether the chosen server is
+ * assumed to have a part of the prompt cached, not what decided the choice.
  */
 export const chooseServer: ChooseServer = (request, servers, random) => {
   const usable = getUsable(request, servers);
@@ -62,19 +69,22 @@
     return {runnersUp: [], reason: 'no-server'};
   }
   const sample = getSample(usable, random);
-  const scored = sample.map(known => scoreServer(request, known));
+  const scored = sample.map(knowledge => scoreServer(request, knowledge));
   scored.sort((a, b) => a.cost - b.cost);
   const best = scored[0];
   if (best === undefined) {
     return {runnersUp: [], reason: 'no-server'};
   }
-  const maxTiedCost = best.cost * (1 + TIE_TOLERANCE_SHARE) + TIE_TOLERANCE_MS;
+  const maxTiedCost =
+    best.cost * (1 + TIE_TOLERANCE_FRACTION) + TIE_TOLERANCE_MS;
   const tied = scored.filter(option => option.cost <= maxTiedCost);
   const chosen = tied[Math.floor(random.next() * tied.length)] ?? best;
   const runnersUp = scored
     .filter(option => option !== chosen)
     .slice(0, MAX_RUNNERS_UP);
-  const chosenKnowledge = sample.find(known => known.server === chosen.server);
+  const chosenKnowledge = sample.find(
+    knowledge => knowledge.server === chosen.server,
+  );
   const reason =
     (chosenKnowledge?.cachedTokens ?? 0) > 0
       ? 'cached-prefix'
@@ -90,26 +100,30 @@
   request: RoutingRequest,
   servers: readonly ServerKnowledge[],
 ): readonly ServerKnowledge[] {
-  const allowed = servers.filter(known => !request.excluded.has(known.server));
-  const healthy = allowed.filter(known => !known.ejected);
+  const allowed = servers.filter(
+    knowledge => !request.excluded.has(knowledge.server),
+  );
+  const healthy = allowed.filter(knowledge => !knowledge.ejected);
   return healthy.length > 0 ? healthy : allowed;
 }
 
 function scoreServer(
   request: RoutingRequest,
-  known: ServerKnowledge,
+  knowledge: ServerKnowledge,
 ): CostedServer {
   const {promptTokens, expectedTokens, slackMs} = request;
-  const prediction = predictFirstToken(known, promptTokens, expectedTokens);
+  const prediction = predictFirstToken(knowledge, promptTokens, expectedTokens);
+  // `prefillMs` includes `ownPrefillMs`. `waitMs` is the time until the prefill of the
+  // request starts, without recently observed delays; it does not enter the cost.
   const {queueMs, prefillMs, ownPrefillMs, waitMs} = prediction;
-  const firstTokenMs = queueMs + prefillMs + known.hopMs;
+  const firstTokenMs = queueMs + prefillMs + knowledge.hopMs;
   const cost =
     slackMs === undefined
       ? firstTokenMs
       : firstTokenMs +
-        OWN_PREFILL_WEIGHT * ownPrefillMs +
-        OVER_SLACK_WEIGHT * Math.max(0, firstTokenMs - slackMs);
-  return {server: known.server, firstTokenMs, queueMs, waitMs, cost};
+        EXTRA_OWN_PREFILL_WEIGHT * ownPrefillMs +
+        EXTRA_OVER_SLACK_WEIGHT * Math.max(0, firstTokenMs - slackMs);
+  return {server: knowledge.server, firstTokenMs, queueMs, waitMs, cost};
 }
 
 function getSample(
