--- a/src/journal/book.ts
+++ b/src/journal/book.ts
@@ -38,21 +38,28 @@
   /** Retention of entries, in milliseconds. */
   readonly retentionMs: number;
   /**
-   * Whether a call is recorded before it is dispatched. Slot books need this
-   * because other hosts can take them over; a host book does not, because only its
-   * own host runs calls under its keys.
+   * Whether a call is recorded before it is dispatched. A slot book, which holds a
+   * part of the keys that callers choose, needs this because other hosts can take
+   * it over. A host book, which holds the keys minted by one incarnation of a host,
+   * does not, because only this host runs calls under them.
    */
   readonly recordsFirst: boolean;
-  /** Called with an outcome that could not be recorded because the book was taken. */
+  /**
+   * Called with an entry whose outcome could not be recorded because the journal is
+   * fenced. Also called with an accepted entry, without an outcome, when this host
+   * no longer tries to run its call: after the retention, or once the book is closed
+   * or its journal fenced.
+   */
   readonly onOrphanedOutcome: (book: string, entry: Entry) => void;
 }
 
 /**
  * Runs the calls of one book, each at most once.
  *
- * Only the holder of a book dispatches its calls, and only after the record of the
- * dispatch is durable. A host that takes the book over reads that record and never
- * dispatches the call again.
+ * Only the holder of a book dispatches its calls. Where `recordsFirst` is set, and
+ * for every call that was accepted to run later, it does so only after the record of
+ * the dispatch is durable. A host that takes the book over reads that record and
+ * does not dispatch the call again, unless it learns that no server received it.
  */
 export class Book {
   private readonly entries = new Map<string, LiveEntry>();
@@ -86,8 +93,9 @@
   }
 
   /**
-   * Returns the entries to hand over: all except running ones whose record is not
-   * durable. Their calls have not been dispatched and never will be by this host.
+   * Returns the entries to hand over to another host. Omits the entries of calls
+   * that wait for their record to become durable: these have not been dispatched,
+   * and this host never will.
    */
   listEntries(): Entry[] {
     const entries: Entry[] = [];
@@ -104,7 +112,10 @@
     return this.entries.size === 0;
   }
 
-  /** Returns the number of calls that are running on this host. */
+  /**
+   * Returns the number of calls in progress on this host, including those that wait
+   * for their record or for the next attempt.
+   */
   countPending(): number {
     let count = 0;
     for (const live of this.entries.values()) {
@@ -116,8 +127,9 @@
   }
 
   /**
-   * Writes every entry again whose state is not `dispatched`, for use where it is
-   * uncertain what has been written.
+   * Writes every entry again whose state is not `dispatched`. Used after a failed
+   * handover: entries that were added while the journal was released were not
+   * written, and a write that was in progress may or may not have taken effect.
    */
   rewriteEntries(): void {
     for (const live of this.entries.values()) {
@@ -127,7 +139,10 @@
     }
   }
 
-  /** Accepts no further calls; running calls continue. */
+  /**
+   * Closes the book for a handover: it accepts no further calls. Calls in progress
+   * continue, but an accepted call gets no further attempts.
+   */
   close(): void {
     this.closed = true;
   }
@@ -142,7 +157,7 @@
     }
   }
 
-  /** Waits until no call is running on this host. */
+  /** Waits until no call is in progress on this host; see `countPending`. */
   async waitForPending(): Promise<void> {
     for (const live of this.entries.values()) {
       while (live.pending !== undefined) {
@@ -152,8 +167,10 @@
   }
 
   /**
-   * Runs a call, or returns its outcome if its key is already recorded.
+   * Runs a call, or returns its outcome if its key is already recorded. A call that
+   * was refused is run again, unless it is a copy of the request that was refused.
    * @param order - The call.
+   * @returns The outcome; `MOVED` if the book is closed or its journal is fenced.
    */
   async run(order: CallOrder): Promise<CallOutcome> {
     if (this.isClosed()) {
@@ -168,7 +185,7 @@
         return this.join(known, order);
       }
       if (known.entry.state !== EntryState.REFUSED) {
-        return this.repeat(known);
+        return this.replay(known);
       }
       const refusal = known.refusals.get(order.instance);
       if (refusal !== undefined) {
@@ -199,12 +216,14 @@
       return undefined;
     }
     return known.pending === undefined
-      ? this.repeat(known)
+      ? this.replay(known)
       : {kind: OutcomeKind.ACCEPTED};
   }
 
   /**
-   * Adds an outcome that an earlier holder of the book learnt when it no longer held it.
+   * Adds an entry that an earlier holder of the book could no longer record; see
+   * `BookOptions.onOrphanedOutcome`. It replaces the entry known here only if it
+   * names the dispatch of that entry, and the outcome of that dispatch is not known.
    * @param entry - The entry as that holder knows it.
    */
   addLateOutcome(entry: Entry): void {
@@ -221,7 +240,8 @@
     if (!isOpen || !matchesAttempt || known.pending !== undefined) {
       const ended = [entry.attempt, ...(entry.ended ?? [])];
       if (entry.state === EntryState.ACCEPTED) {
-        // Lists them as ended, for a later holder that reads them in the table.
+        // Lists these dispatches as ended, for a later holder of the book that finds
+        // their records in the table.
         known.entry = withEndedAttempts(known.entry, ended);
       }
       return;
@@ -246,6 +266,10 @@
     }
   }
 
+  /**
+   * Returns whether this host runs no further calls of the book: it is closed for a
+   * handover, or its journal is fenced.
+   */
   private isClosed(): boolean {
     return this.closed || this.journal.isFenced();
   }
@@ -288,7 +312,10 @@
     return {kind: OutcomeKind.ACCEPTED};
   }
 
-  /** Runs an accepted call; acceptance commits to it beyond the caller's deadline. */
+  /**
+   * Runs an accepted call. It is attempted beyond the caller's deadline, until the
+   * retention ends, the book is closed or the journal is fenced.
+   */
   private async executeAccepted(
     live: LiveEntry,
     order: CallOrder,
@@ -296,19 +323,20 @@
     const {clock, acceptedRetryMs, retentionMs} = this.options;
     const endMs = clock.monotonicMs() + retentionMs;
     while (clock.monotonicMs() < endMs && !this.isClosed()) {
-      const dispatched = this.createEntry(order, EntryState.DISPATCHED);
-      const {attempt} = dispatched;
-      let accepted = live.entry;
-      // No time limit: if it were uncertain whether this record exists, other hosts
-      // could not tell either.
-      const recorded = await this.journal.add(dispatched, () => {
+      const dispatchedEntry = this.createEntry(order, EntryState.DISPATCHED);
+      const {attempt} = dispatchedEntry;
+      let acceptedEntry = live.entry;
+      // No timeout: after one, neither this host nor others could tell whether the
+      // record exists.
+      const recorded = await this.journal.add(dispatchedEntry, () => {
         // From here on, a host that takes the book over must not dispatch the call.
-        accepted = withAttempt(live.entry, attempt);
-        live.entry = dispatched;
+        acceptedEntry = withAttempt(live.entry, attempt);
+        live.entry = dispatchedEntry;
       });
       if (recorded.isErr) {
-        // The next holder may know of this attempt or of an earlier one; none of
-        // them is running on this host.
+        // The next holder of the book may have read the record of this attempt or of
+        // an earlier one. The entry names them all, since none of them is running on
+        // this host.
         live.entry = withAttempt(live.entry, attempt);
         break;
       }
@@ -319,8 +347,8 @@
       if (result.kind !== DispatchKind.NOT_SENT) {
         return this.conclude(live, order, result);
       }
-      live.entry = accepted;
-      void this.journal.add(accepted);
+      live.entry = acceptedEntry;
+      void this.journal.add(acceptedEntry);
       await clock.sleep(acceptedRetryMs);
     }
     this.options.onOrphanedOutcome(this.id, live.entry);
@@ -369,7 +397,11 @@
     return fail(problems.outcomeUnknown(result.detail));
   }
 
-  private async repeat(known: LiveEntry): Promise<CallOutcome> {
+  /**
+   * Returns the recorded answer of a call. If there is none, queries the backend
+   * servers for it; the call is not dispatched again.
+   */
+  private async replay(known: LiveEntry): Promise<CallOutcome> {
     const {entry} = known;
     if (entry.state === EntryState.FINISHED && entry.answer !== undefined) {
       return {
@@ -398,7 +430,7 @@
       .sleep(order.deadlineMs - clock.monotonicMs(), cancelTimer.signal)
       .then(() => fail(problems.deadlinePassed(Ran.UNKNOWN)));
     const outcome = await Promise.race([
-      known.pending ?? this.repeat(known),
+      known.pending ?? this.replay(known),
       timeout,
     ]);
     cancelTimer.abort();
@@ -443,7 +475,10 @@
     return {kind: OutcomeKind.ANSWERED, answer, replayed};
   }
 
-  /** Sets the final state of an entry and records it in the background. */
+  /**
+   * Sets the state in which a run of a call ended and records it in the background.
+   * `REFUSED` is not final: a new request under the key runs the call.
+   */
   private settle(
     live: LiveEntry,
     state: EntryState,
--- a/src/journal/journal.ts
+++ b/src/journal/journal.ts
@@ -10,20 +10,24 @@
 import {BookRow, getBatchKey, getBookKey} from './book_row.js';
 import {Entry} from './entry.js';
 
-/** Write position of the owner of a book. */
+/** Write position of the holder of a book (its row's `owner`). */
 export interface BookPosition {
   readonly book: string;
   readonly fence: number;
   readonly sequence: number;
-  /** Version of the book's row after the last write of its owner. */
+  /** Version of the book's row after the last write of its holder. */
   readonly version: number;
 }
 
 /** Reasons for which an append can fail. */
 export const AppendFailure = {
-  /** Another host has taken the book; nothing further can be written. */
+  /**
+   * The journal does not write: another host has taken the book, or this host has
+   * released it. A write that was in progress when `release` timed out may still have
+   * taken effect. After a release, `resume` allows writing again.
+   */
   FENCED: 'fenced',
-  /** No conclusive answer within the timeout; the entry may still be written. */
+  /** Not known to be written within the timeout; the entry may still be written. */
   UNAVAILABLE: 'unavailable',
 } as const;
 export type AppendFailure = (typeof AppendFailure)[keyof typeof AppendFailure];
@@ -34,11 +38,14 @@
   readonly clock: Clock;
   readonly host: string;
   readonly incarnation: string;
-  /** Waits until the host may send one more write. */
+  /** Waits until the host's write budget allows one more write, and uses it. */
   readonly spendWrite: () => Promise<void>;
-  /** Longest time an outcome waits for others to share its batch, in milliseconds. */
+  /**
+   * Longest time entries wait for others to share their batch, in milliseconds.
+   * `append` and `release` cut this wait short.
+   */
   readonly lingerMs: number;
-  /** Pause before an unanswered write is retried, in milliseconds. */
+  /** Pause before a failed or unanswered write is retried, in milliseconds. */
   readonly retryMs: number;
   /** Retention of batches, in milliseconds. */
   readonly retentionMs: number;
@@ -62,22 +69,24 @@
 /**
  * Writes the entries of one book in batches (group commit).
  *
- * Each write is conditional on the version of the book's row that this owner
+ * Each write is conditional on the version of the book's row that this holder
  * wrote last. A host that takes the book over changes that row, so a delayed write
- * of an earlier owner has no effect: the row acts as the fence.
+ * of an earlier holder has no effect: the row acts as the fence.
  */
 export class Journal {
   private position: BookPosition;
   private queue: QueuedEntry[] = [];
   private writtenBatches: WrittenBatch[];
   private writing = false;
+  /** Aborted to write the next batch without waiting for further entries. */
   private lingerAbort = new AbortController();
+  /** Whether the book was released by this host or taken by another. */
   private fenced = false;
   private lastWriteMs: number;
   private writes = 0;
 
   /**
-   * @param position - Write position of this owner.
+   * @param position - Write position of this holder.
    * @param batches - Batches already in the table, to be deleted in time.
    */
   constructor(
@@ -90,7 +99,7 @@
     this.lastWriteMs = options.clock.monotonicMs();
   }
 
-  /** Returns the write position of this owner. */
+  /** Returns the write position of this holder. */
   getPosition(): BookPosition {
     return this.position;
   }
@@ -101,12 +110,14 @@
   }
 
   /**
-   * Stops writing, so that the book can be handed over.
+   * Waits for pending writes and then stops writing, so that the book can be handed
+   * over. Entries that are not known to be written by the timeout fail with `FENCED`.
    * @param timeoutMs - Longest wait for pending writes, in milliseconds.
    */
   async release(timeoutMs: number): Promise<void> {
     const {clock, retryMs} = this.options;
     const endMs = clock.monotonicMs() + timeoutMs;
+    // Writes the queued entries without waiting for others.
     this.lingerAbort.abort();
     while (!this.isIdle() && clock.monotonicMs() < endMs) {
       await clock.sleep(retryMs);
@@ -115,12 +126,16 @@
     this.settleFenced();
   }
 
-  /** Resumes writing after `release`, if no host took the book. */
+  /**
+   * Resumes writing after `release`, if the handover failed. This does not check
+   * whether another host has taken the book; if one has written the row, the next
+   * write here fails its condition and fences the journal again.
+   */
   resume(): void {
     this.fenced = false;
   }
 
-  /** Returns whether the book was released or taken by another host. */
+  /** Returns whether the book was released by this host or taken by another. */
   isFenced(): boolean {
     return this.fenced;
   }
@@ -146,6 +161,7 @@
     }
     const cancelTimer = new AbortController();
     const writeResult = this.enqueue(entry, onWritten);
+    // Writes the entry without waiting for others.
     this.lingerAbort.abort();
     const timeout = this.options.clock
       .sleep(timeoutMs, cancelTimer.signal)
@@ -159,8 +175,8 @@
    * Writes an entry in the background, batched with others where possible.
    * @param entry - The entry.
    * @param onWritten - Called synchronously when the journal learns that the entry
-   *   is durable. The returned promise resolves in a later turn, and the book may be
-   *   handed over in between.
+   *   is durable. Code that awaits the returned promise runs later, and the book may
+   *   be handed over in between.
    */
   add(
     entry: Entry,
@@ -173,7 +189,8 @@
   }
 
   /**
-   * Renews the lease by rewriting the book's row, unless it was written recently.
+   * Rewrites the book's row unless it was written recently. Another host may take
+   * the book over once its row has not changed for the time of a lease.
    * @param idleMs - Least age of the last write for a renewal, in milliseconds.
    */
   async renew(idleMs: number): Promise<void> {
@@ -234,7 +251,10 @@
     }
   }
 
-  /** Retries one conditional write until it has taken effect or never can. */
+  /**
+   * Retries one conditional write until it is known to have taken effect or the
+   * journal is fenced.
+   */
   private async commit(
     entries: readonly Entry[],
   ): Promise<Result<void, AppendFailure>> {
@@ -247,7 +267,8 @@
     while (!this.fenced) {
       const commit = await this.options.table.transact(steps);
       if (this.fenced) {
-        // Released in the meantime: the book was handed over without this batch.
+        // `release` has timed out in the meantime. The position that is handed over
+        // does not include this batch, whether or not it was written.
         break;
       }
       if (commit.isOk) {
@@ -256,17 +277,17 @@
         return Result.ok(undefined);
       }
       if (commit.error.kind === TableFailureKind.CONFLICT) {
-        const version = await this.findOwnWrite(token);
-        if (version === 'unanswered') {
+        const ownWrite = await this.findOwnWrite(token);
+        if (ownWrite === 'unanswered') {
           await clock.sleep(retryMs);
           continue;
         }
-        if (version === undefined) {
+        if (ownWrite === undefined) {
           this.fenced = true;
           this.settleFenced();
           return Result.err(AppendFailure.FENCED);
         }
-        this.advance(sequence, version, entries.length > 0, trimmed);
+        this.advance(sequence, ownWrite, entries.length > 0, trimmed);
         return Result.ok(undefined);
       }
       await clock.sleep(retryMs);
@@ -274,7 +295,12 @@
     return Result.err(AppendFailure.FENCED);
   }
 
-  /** Checks after a conflict whether an earlier, unanswered try took effect. */
+  /**
+   * Checks after a conflict whether an earlier, unanswered try of the write took
+   * effect.
+   * @returns The version of the row if it did, `undefined` if it did not, and
+   *   `'unanswered'` if the row could not be read.
+   */
   private async findOwnWrite(
     token: string,
   ): Promise<number | undefined | 'unanswered'> {
