--- a/src/rollout/decide_rollout.ts
+++ b/src/rollout/decide_rollout.ts
@@ -4,13 +4,13 @@
 
 /** Upper bound of the requests that a bad version may receive. */
 export interface ExposureBound {
-  /** Share of the requests of its service. */
+  /** Fraction of the requests of its service. */
   readonly share: number;
-  /** Number of requests in addition to the share. */
+  /** Number of requests in addition to that fraction. */
   readonly slack: number;
 }
 
-/** Input of the decision about the next step of a rollout. */
+/** Input of the decision about the next action of a rollout. */
 export interface RolloutDecisionInput {
   readonly rollout: Rollout;
   /** Current time on the table's clock, in milliseconds. */
@@ -19,55 +19,66 @@
   readonly counts: readonly VersionCounts[];
   /** The same counts for the last seconds only. */
   readonly recent: readonly VersionCounts[];
-  /** Numbers of servers that accept work, of the previous and of the new version. */
+  /** Number of servers of the old version (`rollout.from`) that accept work. */
   readonly readyFrom: number;
+  /** Number of servers of the new version (`rollout.to`) that accept work. */
   readonly readyTo: number;
   readonly bound: ExposureBound;
 }
 
-/** Action of a rollout step. */
+/** Action of a rollout. */
 export const RolloutAct = {
+  /** Keep the rollout running with the share of the decision; 0 pauses the trial. */
   CONTINUE: 'go-on',
-  /** Send every request to the new version from now on. */
+  /** End the trial: send every request to the new version from now on. */
   SHIFT: 'shift',
   COMPLETE: 'complete',
   ROLL_BACK: 'roll-back',
 } as const;
 export type RolloutAct = (typeof RolloutAct)[keyof typeof RolloutAct];
 
-/** The next step of a rollout. */
+/** The next action of a rollout. */
 export interface RolloutDecision {
   readonly act: RolloutAct;
-  /** Share of the requests of the service that go to the new version. */
+  /** Fraction of the requests of the service that go to the new version. */
   readonly share: number;
   readonly reason: string;
 }
 
-/** Part of the bound's share that the new version gets during the trial. */
-const TRIAL_SHARE = 0.4;
-/** Part of the bound at which the trial pauses, as counts of hosts arrive with a delay. */
-const PAUSE_SHARE = 0.6;
-/** Part of the duration that the trial takes, as a version may turn bad late. */
-const TRIAL_DURATION_SHARE = 0.96;
+/** Fraction of the bound's share that the new version gets during the trial. */
+const TRIAL_FRACTION = 0.4;
+/**
+ * Fraction of the bound at which the trial pauses, as counts of hosts arrive with a
+ * delay. It applies to the whole share but to only half of the slack of the bound, so the
+ * trial pauses at 0.6 of the share plus 0.3 of the slack.
+ */
+const PAUSE_FRACTION = 0.6;
+/** Fraction of the rollout's duration that the trial takes, as a version may turn bad late. */
+const TRIAL_DURATION_FRACTION = 0.96;
 /** Answers of the new version that are needed before it counts as good. */
 const MIN_ANSWERS = 30;
 /**
- * Answers of the new version that are needed on each route; fewer where the old version
- * has had less than `ROUTE_FACTOR` times as many there.
+ * Answers of the new version that are needed on each route on which the old version has
+ * answered. If the old version has fewer than `ROUTE_FACTOR` times this number on a route,
+ * the new one needs only one answer per `ROUTE_FACTOR` of them.
  */
 const MIN_ANSWERS_ON_ROUTE = 5;
 const ROUTE_FACTOR = 8;
-/** Servers that the new version needs to carry the service, as a share of the old's. */
-const MIN_CAPACITY_SHARE = 0.8;
-/** Time for which the new version has to carry the service alone, in milliseconds. */
+/**
+ * Servers that the new version needs to serve all requests, as a fraction of the number of
+ * servers of the old version.
+ */
+const MIN_CAPACITY_FRACTION = 0.8;
+/** Time for which all requests go to the new version before completion, in milliseconds. */
 const SOLE_SERVICE_MS = 2000;
 
 /**
- * Decides the next step of a rollout.
+ * Decides the next action of a rollout.
  *
  * The new version gets a small share of the requests for nearly the whole duration, so
- * that a version that turns bad late has not received more. Then it gets all requests,
- * while the old servers, which stop at once on completion, finish what they run.
+ * that a version that turns bad late has received only that share. Then it gets all
+ * requests, and the old servers finish those that they run. The rollout completes only
+ * after that, since the old servers stop at once on completion.
  */
 export function decideRollout(input: RolloutDecisionInput): RolloutDecision {
   const {rollout, counts, recent, readyTo} = input;
@@ -96,16 +107,20 @@
   const sentTo = sumVersionCounts(rollout.to, counts).sent;
   const sentFrom = sumVersionCounts(rollout.from, counts).sent;
   const maxSentTo =
-    PAUSE_SHARE * (bound.share * (sentTo + sentFrom) + bound.slack / 2);
+    PAUSE_FRACTION * (bound.share * (sentTo + sentFrom) + bound.slack / 2);
   const reason = findReasonToWait(input, elapsedMs);
   if (reason === undefined) {
     return {act: RolloutAct.SHIFT, share: 1, reason: 'trial passed'};
   }
   if (sentTo >= maxSentTo) {
-    const pauseReason = `${sentTo} of ${sentTo + sentFrom} requests sent to the new version: share used up`;
+    const pauseReason = `${sentTo} of ${sentTo + sentFrom} requests sent to the new version: trial paused near its bound`;
     return {act: RolloutAct.CONTINUE, share: 0, reason: pauseReason};
   }
-  return {act: RolloutAct.CONTINUE, share: TRIAL_SHARE * bound.share, reason};
+  return {
+    act: RolloutAct.CONTINUE,
+    share: TRIAL_FRACTION * bound.share,
+    reason,
+  };
 }
 
 /** Returns why the new version does not get all requests yet; `undefined` if it may. */
@@ -113,11 +128,11 @@
   {rollout, counts, readyFrom, readyTo}: RolloutDecisionInput,
   elapsedMs: number,
 ): string | undefined {
-  if (elapsedMs < rollout.durationMs * TRIAL_DURATION_SHARE) {
+  if (elapsedMs < rollout.durationMs * TRIAL_DURATION_FRACTION) {
     return 'on trial';
   }
-  if (readyTo < readyFrom * MIN_CAPACITY_SHARE) {
-    return `${readyTo} servers accept work, ${readyFrom} of the old version`;
+  if (readyTo < readyFrom * MIN_CAPACITY_FRACTION) {
+    return `servers that accept work: ${readyTo} of the new version, ${readyFrom} of the old version`;
   }
   const {answers} = sumVersionCounts(rollout.to, counts);
   if (answers < MIN_ANSWERS) {
@@ -146,17 +161,18 @@
   shiftedMs: number,
 ): RolloutDecision {
   const {running} = sumVersionCounts(rollout.from, counts);
-  if (readyTo < readyFrom * MIN_CAPACITY_SHARE) {
-    const reason = `${readyTo} servers accept work, ${readyFrom} of the old version`;
-    return {act: RolloutAct.CONTINUE, share: TRIAL_SHARE / 10, reason};
+  if (readyTo < readyFrom * MIN_CAPACITY_FRACTION) {
+    const reason = `servers that accept work: ${readyTo} of the new version, ${readyFrom} of the old version`;
+    // Equals the share during the trial if the bound's share is 0.1.
+    return {act: RolloutAct.CONTINUE, share: TRIAL_FRACTION / 10, reason};
   }
   if (nowMs - shiftedMs < SOLE_SERVICE_MS || running > 0) {
-    const reason = `${running} requests running on servers of the old version`;
+    const reason = `all requests go to the new version, ${running} requests still running on the old version`;
     return {act: RolloutAct.CONTINUE, share: 1, reason};
   }
   return {
     act: RolloutAct.COMPLETE,
     share: 1,
-    reason: 'new version carries the service',
+    reason: 'new version serves all requests',
   };
 }
--- a/test/rollout/decide_rollout_test.ts
+++ b/test/rollout/decide_rollout_test.ts
@@ -47,13 +47,13 @@
     });
   }
 
-  it('gives the new version a small part of its bound at the start', () => {
+  it('gives the new version a small part of its bound during the trial', () => {
     const {act, share} = decide({});
     expect(act).to.equal(RolloutAct.CONTINUE);
     expect(share).to.be.within(0.01, 0.05);
   });
 
-  it('pauses before the bound is reached', () => {
+  it('pauses the trial before the bound is reached', () => {
     const much = [
       count(FROM, {sent: 1000, answers: 1000}),
       count(TO, {sent: 100, answers: 100}),
@@ -61,11 +61,11 @@
     expect(decide({counts: much}).share).to.equal(0);
   });
 
-  it('shifts all requests to it when the duration is nearly over', () => {
+  it('shifts all requests to the new version when the duration is nearly over', () => {
     expect(decide({nowMs: 11_900}).act).to.equal(RolloutAct.SHIFT);
   });
 
-  it('waits while a route has too few answers', () => {
+  it('continues the trial while the new version has too few answers on a route', () => {
     const rare = {...count(FROM, {sent: 500, answers: 500}), route: 'watch'};
     const {act} = decide({nowMs: 20_000, counts: [...counts, rare]});
     expect(act).to.equal(RolloutAct.CONTINUE);
@@ -85,7 +85,7 @@
     expect(share).to.be.lessThan(0.1);
   });
 
-  it('rolls back a version that was good for a long time and fails recently', () => {
+  it('rolls back a version that was good for a long time and has failed recently', () => {
     const many = [
       count(FROM, {sent: 90_000, answers: 90_000, bad: 4000}),
       count(TO, {sent: 4000, answers: 4000, bad: 100}),
--- a/test/rollout/rollout_simulation.ts
+++ b/test/rollout/rollout_simulation.ts
@@ -101,7 +101,7 @@
   /** Whether it is partitioned from the other hosts and the table. */
   isPartitioned: boolean;
   isDown: boolean;
-  /** Fence under which it believes to hold the duty. */
+  /** Fence of the duty, while the host assumes that it holds it. */
   fence: number | undefined;
 }
 
@@ -142,7 +142,10 @@
     }
   }
 
-  /** Assigns the duty to a host; its former holder may still believe to hold it. */
+  /**
+   * Assigns the duty to a host.
+   * @param endsFormer - Whether its former holders know that they no longer hold it.
+   */
   assignDuty(index: number, endsFormer = true): void {
     for (const host of this.hosts) {
       if (endsFormer) {
--- a/test/rollout/rollout_test.ts
+++ b/test/rollout/rollout_test.ts
@@ -5,7 +5,7 @@
 
 const HOSTS = 12;
 const DURATION_MS = 12_000;
-/** Bound of a bad version: share of all requests within the duration, plus a slack. */
+/** Bound on the requests to a bad version within the duration: fraction of all, plus a slack. */
 const SHARE = 0.1;
 const SLACK = 50;
 /** Time after its 50th bad answer from which it may get no request, in milliseconds. */
@@ -159,7 +159,7 @@
     }
   }
 
-  it('has one effective holder while the former one still believes to hold it', async () => {
+  it('has one effective holder while a former one still assumes that it holds the duty', async () => {
     const simulation = new RolloutSimulation(HOSTS, badAtOnce);
     simulation.order(DURATION_MS);
     await simulation.run(3000);
