--- a/src/routing/choose_server.ts
+++ b/src/routing/choose_server.ts
@@ -31,9 +31,10 @@
  * request has slack. The time to the first token, with weight 1, contains this
  * millisecond already, so its total weight is 4; waiting time has weight 1. Past
  * the slack, `EXTRA_OVER_SLACK_WEIGHT` is added to both. Recomputing a cached
- * part of a prompt delays every stream that runs on the server. With emulated servers (`npm run measure -- --only reuse`), 558,000
- * tokens of shared prompt parts are computed again with this weight and 819,000
- * without it, and the first tokens come equally early.
+ * part of a prompt delays every stream that runs on the server. With emulated
+ * servers (`npm run measure -- --only reuse`), 558,000 tokens of shared prompt
+ * parts are computed again with this weight and 819,000 without it, and the
+ * first tokens come equally early.
  */
 const EXTRA_OWN_PREFILL_WEIGHT = 3;
 /**
