--- a/src/replica/row_replica.ts
+++ b/src/replica/row_replica.ts
@@ -12,7 +12,7 @@
    * Returns the significant content of a row; a row that differs only in the rest is
    * no update for peers.
    */
-  readonly getSubstance: (text: string) => string;
+  readonly getSignificantContent: (text: string) => string;
 }
 
 /** Rows that changed between two versions of a table, as read from the table. */
@@ -81,21 +81,21 @@
    * Returns the version up to which all changes of significant content are merged. Rows
    * in doubt limit it to their last known version, as they may have changed since.
    */
-  getNewsVersion(): number {
+  getVersion(): number {
     const known = Math.min(this.completeVersion, this.changedVersion);
     return Math.min(known, ...this.inDoubt.values());
   }
 
   /** Returns the version and digest to report to peers. */
   getState(): ReplicaState {
-    return {version: this.getNewsVersion(), digest: this.digest.get()};
+    return {version: this.getVersion(), digest: this.digest.get()};
   }
 
   /**
    * Marks a row as possibly removed. This lowers the version of the replica, so that
    * peers are asked for later changes until one settles the question.
    */
-  doubt(key: string): void {
+  markInDoubt(key: string): void {
     const stored = this.rows.get(key);
     if (stored?.row.text !== undefined) {
       this.inDoubt.set(key, stored.row.version);
@@ -108,10 +108,10 @@
    * @param version - Table version of the reading.
    * @returns Whether the reading has all the rows stored up to its version.
    */
-  doubtMissing(rows: readonly VersionedRow[], version: number): boolean {
+  markMissingInDoubt(rows: readonly VersionedRow[], version: number): boolean {
     const missing = this.listMissingKeys(rows, version);
     for (const key of missing) {
-      this.doubt(key);
+      this.markInDoubt(key);
     }
     return missing.length === 0;
   }
@@ -159,7 +159,7 @@
 
   /** Returns the position from which the next `listChangesToForward` is to continue. */
   getForwardPosition(): ForwardPosition {
-    return {version: this.getNewsVersion(), changeNumber: this.changeNumber};
+    return {version: this.getVersion(), changeNumber: this.changeNumber};
   }
 
   /**
@@ -230,7 +230,7 @@
    * @param source - The peer, passed to the listeners.
    * @returns Whether this replica now has everything that the peer has.
    */
-  addTold({rows, after, state}: RowChanges, source: string): boolean {
+  addPeerChanges({rows, after, state}: RowChanges, source: string): boolean {
     if (after === undefined) {
       this.addSnapshot(rows, state.version, source);
       return true;
@@ -325,7 +325,9 @@
   }
 
   private readContent({text}: VersionedRow): string | undefined {
-    return text === undefined ? undefined : this.options.getSubstance(text);
+    return text === undefined
+      ? undefined
+      : this.options.getSignificantContent(text);
   }
 
   /** Stores a row in place of its previous version; the latest row is the last. */
--- a/src/rollout/decide_rollout.ts
+++ b/src/rollout/decide_rollout.ts
@@ -20,14 +20,14 @@
   /** The same counts for the last seconds only. */
   readonly recent: readonly VersionCounts[];
   /** Number of servers of the old version (`rollout.from`) that accept work. */
-  readonly readyFrom: number;
+  readonly readyOldServers: number;
   /** Number of servers of the new version (`rollout.to`) that accept work. */
-  readonly readyTo: number;
+  readonly readyNewServers: number;
   readonly bound: ExposureBound;
 }
 
 /** Action of a rollout. */
-export const RolloutAct = {
+export const RolloutAction = {
   /** Keep the rollout running with the share of the decision; 0 pauses the trial. */
   CONTINUE: 'go-on',
   /** End the trial: send every request to the new version from now on. */
@@ -35,11 +35,11 @@
   COMPLETE: 'complete',
   ROLL_BACK: 'roll-back',
 } as const;
-export type RolloutAct = (typeof RolloutAct)[keyof typeof RolloutAct];
+export type RolloutAction = (typeof RolloutAction)[keyof typeof RolloutAction];
 
 /** The next action of a rollout. */
 export interface RolloutDecision {
-  readonly act: RolloutAct;
+  readonly act: RolloutAction;
   /** Fraction of the requests of the service that go to the new version. */
   readonly share: number;
   readonly reason: string;
@@ -81,7 +81,7 @@
  * after that, since the old servers stop at once on completion.
  */
 export function decideRollout(input: RolloutDecisionInput): RolloutDecision {
-  const {rollout, counts, recent, readyTo} = input;
+  const {rollout, counts, recent, readyNewServers} = input;
   for (const judgedCounts of [counts, recent]) {
     const {isBad, reason} = judgeVersion(
       judgedCounts,
@@ -89,12 +89,12 @@
       rollout.to,
     );
     if (isBad) {
-      return {act: RolloutAct.ROLL_BACK, share: 0, reason};
+      return {act: RolloutAction.ROLL_BACK, share: 0, reason};
     }
   }
-  if (readyTo === 0) {
+  if (readyNewServers === 0) {
     const reason = 'no server of the new version accepts work';
-    return {act: RolloutAct.CONTINUE, share: 0, reason};
+    return {act: RolloutAction.CONTINUE, share: 0, reason};
   }
   return rollout.shiftedMs === undefined
     ? decideTrial(input)
@@ -110,14 +110,14 @@
     PAUSE_FRACTION * (bound.share * (sentTo + sentFrom) + bound.slack / 2);
   const reason = findReasonToWait(input, elapsedMs);
   if (reason === undefined) {
-    return {act: RolloutAct.SHIFT, share: 1, reason: 'trial passed'};
+    return {act: RolloutAction.SHIFT, share: 1, reason: 'trial passed'};
   }
   if (sentTo >= maxSentTo) {
     const pauseReason = `${sentTo} of ${sentTo + sentFrom} requests sent to the new version: trial paused near its bound`;
-    return {act: RolloutAct.CONTINUE, share: 0, reason: pauseReason};
+    return {act: RolloutAction.CONTINUE, share: 0, reason: pauseReason};
   }
   return {
-    act: RolloutAct.CONTINUE,
+    act: RolloutAction.CONTINUE,
     share: TRIAL_FRACTION * bound.share,
     reason,
   };
@@ -125,14 +125,14 @@
 
 /** Returns why the new version does not get all requests yet; `undefined` if it may. */
 function findReasonToWait(
-  {rollout, counts, readyFrom, readyTo}: RolloutDecisionInput,
+  {rollout, counts, readyOldServers, readyNewServers}: RolloutDecisionInput,
   elapsedMs: number,
 ): string | undefined {
   if (elapsedMs < rollout.durationMs * TRIAL_DURATION_FRACTION) {
     return 'on trial';
   }
-  if (readyTo < readyFrom * MIN_CAPACITY_FRACTION) {
-    return `servers that accept work: ${readyTo} of the new version, ${readyFrom} of the old version`;
+  if (readyNewServers < readyOldServers * MIN_CAPACITY_FRACTION) {
+    return `servers that accept work: ${readyNewServers} of the new version, ${readyOldServers} of the old version`;
   }
   const {answers} = sumVersionCounts(rollout.to, counts);
   if (answers < MIN_ANSWERS) {
@@ -157,21 +157,27 @@
 }
 
 function decideCompletion(
-  {rollout, nowMs, counts, readyFrom, readyTo}: RolloutDecisionInput,
+  {
+    rollout,
+    nowMs,
+    counts,
+    readyOldServers,
+    readyNewServers,
+  }: RolloutDecisionInput,
   shiftedMs: number,
 ): RolloutDecision {
   const {running} = sumVersionCounts(rollout.from, counts);
-  if (readyTo < readyFrom * MIN_CAPACITY_FRACTION) {
-    const reason = `servers that accept work: ${readyTo} of the new version, ${readyFrom} of the old version`;
+  if (readyNewServers < readyOldServers * MIN_CAPACITY_FRACTION) {
+    const reason = `servers that accept work: ${readyNewServers} of the new version, ${readyOldServers} of the old version`;
     // Equals the share during the trial if the bound's share is 0.1.
-    return {act: RolloutAct.CONTINUE, share: TRIAL_FRACTION / 10, reason};
+    return {act: RolloutAction.CONTINUE, share: TRIAL_FRACTION / 10, reason};
   }
   if (nowMs - shiftedMs < SOLE_SERVICE_MS || running > 0) {
     const reason = `all requests go to the new version, ${running} requests still running on the old version`;
-    return {act: RolloutAct.CONTINUE, share: 1, reason};
+    return {act: RolloutAction.CONTINUE, share: 1, reason};
   }
   return {
-    act: RolloutAct.COMPLETE,
+    act: RolloutAction.COMPLETE,
     share: 1,
     reason: 'new version serves all requests',
   };
--- a/src/rollout/index.ts
+++ b/src/rollout/index.ts
@@ -1,5 +1,5 @@
 /** Rollouts: move a service's requests to servers of another version step by step. */
-export {decideRollout, RolloutAct} from './decide_rollout.js';
+export {decideRollout, RolloutAction} from './decide_rollout.js';
 export type {
   ExposureBound,
   RolloutDecision,
@@ -16,19 +16,19 @@
 export type {RolloutOrder} from './rollout_order.js';
 export {RolloutOrders} from './rollout_orders.js';
 export type {RolloutStore, StoredRollout} from './rollout_store.js';
-export {
-  rolloutAnswerSchema,
-  rolloutQuestionSchema,
-} from './rollout_messages.js';
+export {rolloutReplySchema, rolloutReportSchema} from './rollout_messages.js';
 export type {
-  RolloutAnswer,
-  RolloutQuestionMessage,
+  RolloutReply,
+  RolloutReport,
   RolloutDirective,
 } from './rollout_messages.js';
-export {RolloutWords} from './rollout_words.js';
+export {RolloutDirectives} from './rollout_directives.js';
 export {createVersionCounts} from './version_counts.js';
 export type {VersionCounts} from './version_counts.js';
-export {VersionGate} from './version_gate.js';
-export type {AllowsServer, VersionGateOptions} from './version_gate.js';
-export {VersionEnd, VersionLedger} from './version_ledger.js';
-export type {VersionRun} from './version_ledger.js';
+export {VersionSelector} from './version_selector.js';
+export type {
+  ServerPredicate,
+  VersionSelectorOptions,
+} from './version_selector.js';
+export {VersionOutcome, VersionCounter} from './version_counter.js';
+export type {VersionRun} from './version_counter.js';
--- a/src/rollout/rollout_client.ts
+++ b/src/rollout/rollout_client.ts
@@ -5,24 +5,24 @@
 import {RolloutOrder} from './rollout_order.js';
 import {RolloutOrders} from './rollout_orders.js';
 import {
-  RolloutAnswer,
-  rolloutAnswerSchema,
-  RolloutQuestionMessage,
+  RolloutReply,
+  rolloutReplySchema,
+  RolloutReport,
 } from './rollout_messages.js';
-import {RolloutWords} from './rollout_words.js';
-import {VersionLedger} from './version_ledger.js';
+import {RolloutDirectives} from './rollout_directives.js';
+import {VersionCounter} from './version_counter.js';
 
 /** Options of the client. */
 export interface RolloutClientOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly orders: RolloutOrders;
-  readonly words: RolloutWords;
-  readonly ledger: VersionLedger;
+  readonly directives: RolloutDirectives;
+  readonly counter: VersionCounter;
   /** Name of this host. */
   readonly host: string;
   /** Handles a report on this host; the reply says whether it holds the duty. */
-  readonly answerHere: (report: RolloutQuestionMessage) => RolloutAnswer;
+  readonly handleLocally: (report: RolloutReport) => RolloutReply;
   /** Finds the host that holds the duty; `undefined` if it cannot be determined. */
   readonly findHolder: () => Promise<string | undefined>;
   readonly requestPeer: (
@@ -66,14 +66,14 @@
 
   /** Sends one report for each rollout that has not ended. */
   async step(): Promise<void> {
-    const {orders, words, ledger} = this.options;
+    const {orders, directives, counter} = this.options;
     for (const order of orders.list()) {
       const {service, number} = order;
       if (!this.countedOrders.has(number)) {
         this.countedOrders.add(number);
-        ledger.reset(service);
+        counter.reset(service);
       }
-      const directive = words.get(service, number);
+      const directive = directives.get(service, number);
       if (directive === undefined || !isFinal(directive)) {
         await this.report(order);
       }
@@ -81,25 +81,25 @@
   }
 
   private async report({service, number}: RolloutOrder): Promise<void> {
-    const {ledger, words, answerHere} = this.options;
-    const report: RolloutQuestionMessage = {
+    const {counter, directives, handleLocally} = this.options;
+    const report: RolloutReport = {
       kind: 'rollout',
       service,
       order: number,
-      counts: ledger.list(service),
+      counts: counter.list(service),
     };
-    const localReply = answerHere(report);
+    const localReply = handleLocally(report);
     const reply = localReply.isHolder
       ? localReply
       : await this.reportToHolder(report);
     if (reply?.word !== undefined) {
-      words.add(reply.word);
+      directives.add(reply.word);
     }
   }
 
   private async reportToHolder(
-    report: RolloutQuestionMessage,
-  ): Promise<RolloutAnswer | undefined> {
+    report: RolloutReport,
+  ): Promise<RolloutReply | undefined> {
     const holder = await this.getHolder();
     if (holder === undefined || holder === this.options.host) {
       this.holder = undefined;
@@ -107,7 +107,7 @@
     }
     const {requestPeer} = this.options;
     const reply = await requestPeer(holder, report, REPLY_TIMEOUT_MS);
-    const answer = rolloutAnswerSchema.safeParse(reply.unwrapOr(undefined));
+    const answer = rolloutReplySchema.safeParse(reply.unwrapOr(undefined));
     if (!answer.success || !answer.data.isHolder) {
       this.holder = undefined;
     }
--- a/src/rollout/rollout_words.ts
+++ b/src/rollout/rollout_directives.ts
@@ -17,7 +17,7 @@
 const MAX_AGE_MS = 2000;
 
 /** The last directive that this host received for the rollout of each service. */
-export class RolloutWords {
+export class RolloutDirectives {
   private readonly lastByService = new Map<string, ReceivedDirective>();
 
   constructor(
--- a/src/rollout/rollout_driver.ts
+++ b/src/rollout/rollout_driver.ts
@@ -5,7 +5,7 @@
 import {
   decideRollout,
   ExposureBound,
-  RolloutAct,
+  RolloutAction,
   RolloutDecision,
 } from './decide_rollout.js';
 import {isFinal, Rollout, RolloutState} from './rollout.js';
@@ -13,13 +13,13 @@
 import {RolloutOrders} from './rollout_orders.js';
 import {RolloutStore, StoredRollout} from './rollout_store.js';
 import {
-  RolloutAnswer,
-  RolloutQuestionMessage,
+  RolloutReply,
+  RolloutReport,
   RolloutDirective,
 } from './rollout_messages.js';
 import {sumVersionCounts, VersionCounts} from './version_counts.js';
-import {findMajorityVersion} from './version_gate.js';
-import {VersionLedger} from './version_ledger.js';
+import {findMajorityVersion} from './version_selector.js';
+import {VersionCounter} from './version_counter.js';
 
 /** Options of the driver. */
 export interface RolloutDriverOptions {
@@ -29,14 +29,14 @@
   readonly getFence: () => number | undefined;
   readonly orders: RolloutOrders;
   readonly store: RolloutStore;
-  readonly ledger: VersionLedger;
+  readonly counter: VersionCounter;
   /** Host name and incarnation of this process. */
   readonly origin: string;
   readonly hasService: (service: string) => boolean;
   /** Counts the servers of a service that accept work, by version. */
   readonly countReady: (service: string) => ReadonlyMap<string, number>;
   /** Returns the time of the table's clock, in ms; `undefined` until it is known. */
-  readonly getTableMs: () => number | undefined;
+  readonly getReferenceTimeMs: () => number | undefined;
   readonly getBound: () => ExposureBound;
 }
 
@@ -95,7 +95,7 @@
    * @param origin - Name and incarnation of the host.
    * @returns The directive for the host, if this host holds the duty and has one.
    */
-  answer(report: RolloutQuestionMessage, origin: string): RolloutAnswer {
+  handleReport(report: RolloutReport, origin: string): RolloutReply {
     const fence = this.options.getFence();
     if (fence === undefined) {
       return {isHolder: false};
@@ -167,7 +167,7 @@
     version: number,
   ): Promise<StoredRollout | undefined> {
     const {service, to, durationMs, number} = order;
-    const startedMs = this.options.getTableMs();
+    const startedMs = this.options.getReferenceTimeMs();
     if (startedMs === undefined) {
       return undefined;
     }
@@ -207,10 +207,10 @@
   }
 
   private async advance(active: ActiveRollout): Promise<void> {
-    const {clock, ledger, origin, getTableMs} = this.options;
+    const {clock, counter, origin, getReferenceTimeMs} = this.options;
     const {rollout} = active;
-    const nowMs = getTableMs();
-    active.setCounts(origin, ledger.list(rollout.service));
+    const nowMs = getReferenceTimeMs();
+    active.setCounts(origin, counter.list(rollout.service));
     const hasCollectedCounts =
       clock.monotonicMs() - active.dutySinceMs >= COLLECT_COUNTS_MS;
     if (
@@ -223,7 +223,7 @@
     const decision = this.decide(active, counts, nowMs);
     if (
       decision.share !== active.share ||
-      decision.act !== RolloutAct.CONTINUE
+      decision.act !== RolloutAction.CONTINUE
     ) {
       this.logStep(active, decision, counts);
     }
@@ -237,7 +237,7 @@
   ): RolloutDecision {
     const {rollout, rollbackReason} = active;
     if (rollbackReason !== undefined) {
-      return {act: RolloutAct.ROLL_BACK, share: 0, reason: rollbackReason};
+      return {act: RolloutAction.ROLL_BACK, share: 0, reason: rollbackReason};
     }
     const {clock, countReady, getBound} = this.options;
     const ready = countReady(rollout.service);
@@ -246,8 +246,8 @@
       nowMs,
       counts,
       recent: active.sumRecent(clock.monotonicMs(), counts),
-      readyFrom: ready.get(rollout.from) ?? 0,
-      readyTo: ready.get(rollout.to) ?? 0,
+      readyOldServers: ready.get(rollout.from) ?? 0,
+      readyNewServers: ready.get(rollout.to) ?? 0,
       bound: getBound(),
     });
   }
@@ -258,16 +258,16 @@
     nowMs: number,
   ): Promise<void> {
     switch (act) {
-      case RolloutAct.CONTINUE:
+      case RolloutAction.CONTINUE:
         active.share = share;
         return;
-      case RolloutAct.SHIFT:
+      case RolloutAction.SHIFT:
         await this.write(active, {shiftedMs: nowMs});
         return;
-      case RolloutAct.COMPLETE:
+      case RolloutAction.COMPLETE:
         await this.write(active, {state: RolloutState.COMPLETED});
         return;
-      case RolloutAct.ROLL_BACK:
+      case RolloutAction.ROLL_BACK:
         // Hosts stop using the version at once, even if this cannot be stored now.
         active.share = 0;
         active.rollbackReason = reason;
--- a/src/rollout/rollout_messages.ts
+++ b/src/rollout/rollout_messages.ts
@@ -6,7 +6,7 @@
 const MAX_COUNTS = 1000;
 
 /** Schema of the report of a host to the holder of the duty, which requests a directive. */
-export const rolloutQuestionSchema = z.object({
+export const rolloutReportSchema = z.object({
   kind: z.literal('rollout'),
   service: name,
   /** Number of the latest order that the host knows for the service. */
@@ -33,12 +33,12 @@
 });
 
 /** Schema of the reply to a report; without a directive while there is none. */
-export const rolloutAnswerSchema = z.object({
+export const rolloutReplySchema = z.object({
   /** Whether the replying host holds the duty. */
   isHolder: z.boolean(),
   word: rolloutDirectiveSchema.optional(),
 });
 
-export type RolloutQuestionMessage = z.output<typeof rolloutQuestionSchema>;
+export type RolloutReport = z.output<typeof rolloutReportSchema>;
 export type RolloutDirective = z.output<typeof rolloutDirectiveSchema>;
-export type RolloutAnswer = z.output<typeof rolloutAnswerSchema>;
+export type RolloutReply = z.output<typeof rolloutReplySchema>;
--- a/src/rollout/version_ledger.ts
+++ b/src/rollout/version_counter.ts
@@ -1,13 +1,14 @@
 import {createVersionCounts, VersionCounts} from './version_counts.js';
 
 /** Outcome of a request as far as it is attributable to the version that ran it. */
-export const VersionEnd = {
+export const VersionOutcome = {
   GOOD: 'good',
   BAD: 'bad',
   /** The caller disconnected, or the server had no capacity. */
   NEUTRAL: 'neutral',
 } as const;
-export type VersionEnd = (typeof VersionEnd)[keyof typeof VersionEnd];
+export type VersionOutcome =
+  (typeof VersionOutcome)[keyof typeof VersionOutcome];
 
 /** A request in flight at a server of some version; only the first `finish` counts. */
 export interface VersionRun {
@@ -17,7 +18,7 @@
    * @param firstMs - Time to the first byte of a good answer, in milliseconds.
    * @param wholeMs - Time to the end of a good answer, in milliseconds.
    */
-  finish(end: VersionEnd, firstMs?: number, wholeMs?: number): void;
+  finish(end: VersionOutcome, firstMs?: number, wholeMs?: number): void;
 }
 
 /**
@@ -25,7 +26,7 @@
  * start or since a rollout began. Hosts report cumulative sums, so that a report that is
  * received twice counts once.
  */
-export class VersionLedger {
+export class VersionCounter {
   private readonly services = new Map<string, Map<string, VersionCounts>>();
 
   /** Records that a request is sent to a server. */
@@ -71,15 +72,15 @@
 
 function addOutcome(
   counts: VersionCounts,
-  end: VersionEnd,
+  end: VersionOutcome,
   firstMs: number,
   wholeMs: number,
 ): void {
-  if (end === VersionEnd.NEUTRAL) {
+  if (end === VersionOutcome.NEUTRAL) {
     return;
   }
   counts.answers++;
-  if (end === VersionEnd.BAD) {
+  if (end === VersionOutcome.BAD) {
     counts.bad++;
     return;
   }
--- a/src/rollout/version_gate.ts
+++ b/src/rollout/version_selector.ts
@@ -5,17 +5,17 @@
 import {RolloutOrder} from './rollout_order.js';
 import {RolloutOrders} from './rollout_orders.js';
 import {RolloutDirective} from './rollout_messages.js';
-import {RolloutWords} from './rollout_words.js';
+import {RolloutDirectives} from './rollout_directives.js';
 
 /** Returns whether a server may receive a request. */
-export type AllowsServer = (server: FleetServer) => boolean;
+export type ServerPredicate = (server: FleetServer) => boolean;
 
 /** Options of the version selection. */
-export interface VersionGateOptions {
+export interface VersionSelectorOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly orders: RolloutOrders;
-  readonly words: RolloutWords;
+  readonly directives: RolloutDirectives;
   /** Counts the servers of a service that accept work, by version. */
   readonly countReady: (service: string) => ReadonlyMap<string, number>;
 }
@@ -38,12 +38,12 @@
 }
 
 /** Selects the version of a service that may receive a request. */
-export class VersionGate {
+export class VersionSelector {
   private readonly counted = new Map<string, CountedVersions>();
   /** Time since which an order is known without a directive, by number, monotonic ms. */
   private readonly waitingSinceMs = new Map<number, number>();
 
-  constructor(private readonly options: VersionGateOptions) {}
+  constructor(private readonly options: VersionSelectorOptions) {}
 
   /**
    * Selects the version for one attempt at a request, at random during a trial.
@@ -52,14 +52,14 @@
    *   the previous version.
    * @returns A predicate of the servers that may receive it; `undefined` if all may.
    */
-  draw(service: string, isFirst: boolean): AllowsServer | undefined {
+  select(service: string, isFirst: boolean): ServerPredicate | undefined {
     const order = this.options.orders.get(service);
     const {versions, majority} = this.count(service);
     if (order === undefined) {
       // Servers of a version that no order names must not be used yet.
       return versions.size === 0 ? undefined : hasVersion(majority);
     }
-    const directive = this.options.words.get(service, order.number);
+    const directive = this.options.directives.get(service, order.number);
     if (directive === undefined) {
       return this.selectWithoutDirective(order, versions);
     }
@@ -69,13 +69,13 @@
   private selectByDirective(
     directive: RolloutDirective,
     isFirst: boolean,
-  ): AllowsServer {
-    const {words, random} = this.options;
+  ): ServerPredicate {
+    const {directives, random} = this.options;
     const {state, share, from, to, service} = directive;
     if (state === RolloutState.COMPLETED) {
       return hasVersion(to);
     }
-    if (state === RolloutState.ROLLED_BACK || !words.isFresh(service)) {
+    if (state === RolloutState.ROLLED_BACK || !directives.isFresh(service)) {
       return hasVersion(from);
     }
     const usesNewVersion = share >= 1 || (isFirst && random.next() < share);
@@ -85,7 +85,7 @@
   private selectWithoutDirective(
     {to, number}: RolloutOrder,
     versions: ReadonlyMap<string, number>,
-  ): AllowsServer {
+  ): ServerPredicate {
     const nowMs = this.options.clock.monotonicMs();
     const sinceMs = this.waitingSinceMs.get(number) ?? nowMs;
     this.waitingSinceMs.set(number, sinceMs);
@@ -125,6 +125,6 @@
   return majority;
 }
 
-function hasVersion(version: string): AllowsServer {
+function hasVersion(version: string): ServerPredicate {
   return server => (server.version ?? '') === version;
 }
--- a/src/routing/server_directory.ts
+++ b/src/routing/server_directory.ts
@@ -12,7 +12,7 @@
 }
 
 /** An in-flight request at a server. Only the first call of `finish` counts. */
-export interface Flight {
+export interface InFlightRequest {
   /**
    * Records the time to the first token and its prediction, in milliseconds.
    */
@@ -216,11 +216,11 @@
    * @param prefillTokens - Prompt tokens it has to compute before the first
    *   token.
    */
-  startFlight(
+  trackRequest(
     name: string,
     blocks: readonly number[],
     prefillTokens: number,
-  ): Flight {
+  ): InFlightRequest {
     const tracked = this.tracked.get(name);
     if (tracked === undefined) {
       return {addFirstToken: () => undefined, finish: () => undefined};
--- a/src/service/once_calls.ts
+++ b/src/service/at_most_once_calls.ts
@@ -1,5 +1,5 @@
 import {Result} from 'true-myth';
-import {problems, Ran} from '../errors/index.js';
+import {problems, ExecutionStatus} from '../errors/index.js';
 import {
   BookDirectory,
   Bookkeeper,
@@ -26,7 +26,7 @@
 ) => Promise<Result<unknown, PeerFailure>>;
 
 /** Options of the at-most-once calls. */
-export interface OnceCallsOptions {
+export interface AtMostOnceCallsOptions {
   readonly host: string;
   readonly clock: Clock;
   readonly log: Log;
@@ -37,7 +37,7 @@
 }
 
 /** An at-most-once call as the interface for callers passes it on. */
-export interface OnceCall {
+export interface AtMostOnceCall {
   readonly order: CallOrder;
   /** Idempotency-Key: the caller's, or one that this host minted for it. */
   readonly key: string;
@@ -63,8 +63,8 @@
 }
 
 /** Sends calls that may run at most once to the holders of their books. */
-export class OnceCalls {
-  constructor(private readonly options: OnceCallsOptions) {}
+export class AtMostOnceCalls {
+  constructor(private readonly options: AtMostOnceCallsOptions) {}
 
   /**
    * Runs a call on the host that holds its book.
@@ -74,7 +74,7 @@
    * deadline.
    * @param call - The call.
    */
-  async run(call: OnceCall): Promise<CallOutcome> {
+  async run(call: AtMostOnceCall): Promise<CallOutcome> {
     const {clock} = this.options;
     const {order} = call;
     const book = getBookFor(order.customer, call.key);
@@ -163,7 +163,7 @@
 
   /** Returns what is certain about a call when no holder could be reached. */
   private async failWithoutHolder(
-    call: OnceCall,
+    call: AtMostOnceCall,
     book: string,
     mayHaveArrived: boolean,
   ): Promise<CallOutcome> {
@@ -183,7 +183,7 @@
     const offered = this.options.mintKey();
     return {
       kind: OutcomeKind.FAILED,
-      problem: problems.storeUnavailable(Ran.NO, offered),
+      problem: problems.storeUnavailable(ExecutionStatus.NOT_EXECUTED, offered),
     };
   }
 
--- a/src/service/call_message.ts
+++ b/src/service/call_message.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {ProblemKind, Ran} from '../errors/index.js';
+import {ProblemKind, ExecutionStatus} from '../errors/index.js';
 import {CallOrder, CallOutcome, OutcomeKind} from '../journal/index.js';
 
 /** Schema of the message that sends a call to the holder of its book. */
@@ -36,7 +36,7 @@
   status: z.number().int(),
   detail: z.string(),
   remedy: z.string(),
-  ran: z.enum(Object.values(Ran)),
+  ran: z.enum(Object.values(ExecutionStatus)),
   retryAfterSeconds: z.number().optional(),
   extra: z.record(z.string(), z.unknown()).optional(),
 });
--- a/src/service/service_dispatcher.ts
+++ b/src/service/service_dispatcher.ts
@@ -1,8 +1,8 @@
 import {Attempts} from '../attempts/index.js';
-import {Reach, ServiceAnswer, ServiceCall} from '../backend/index.js';
+import {DeliveryState, ServiceAnswer, ServiceCall} from '../backend/index.js';
 import {Repeat} from '../catalog/index.js';
 import {ConfigurationStore, Deployment} from '../configuration/index.js';
-import {problems, Ran} from '../errors/index.js';
+import {problems, ExecutionStatus} from '../errors/index.js';
 import {
   CallOrder,
   DispatchKind,
@@ -99,7 +99,7 @@
     const attempts = new Attempts({
       repeat,
       maxRuns: Number.POSITIVE_INFINITY,
-      maxNotRun: Number.POSITIVE_INFINITY,
+      maxUnexecuted: Number.POSITIVE_INFINITY,
       spendRetry: () => budget.spend(),
     });
     let failure: DispatchResult = {
@@ -114,11 +114,11 @@
         return attempts.count() === 0
           ? {
               kind: DispatchKind.NOT_SENT,
-              problem: problems.deadlinePassed(Ran.NO),
+              problem: problems.deadlinePassed(ExecutionStatus.NOT_EXECUTED),
             }
           : failure;
       }
-      const blockedMs = content.getHeldMs();
+      const blockedMs = content.getRemainingBlockMs();
       if (blockedMs > 0) {
         return attempts.count() === 0
           ? refuseBlocked(content, blockedMs)
@@ -147,7 +147,7 @@
       }
       // Once a server may have run the call, that failure is the one to report.
       failure = failure.kind === DispatchKind.LOST ? failure : result;
-      if (!attempts.fail(server, result.kind === DispatchKind.LOST)) {
+      if (!attempts.recordFailure(server, result.kind === DispatchKind.LOST)) {
         return failure;
       }
     }
@@ -169,12 +169,12 @@
   ): Promise<DispatchResult> {
     const {clock, directory} = this.options;
     const service = directory.getService(server);
-    const inFlight = directory.startFlight(server, [], 0);
+    const inFlight = directory.trackRequest(server, [], 0);
     const startMs = clock.monotonicMs();
     const answer = await service?.send(call, remainingMs);
     if (answer === undefined || answer.isErr) {
       inFlight.finish(false);
-      const reach = answer?.error.reach ?? Reach.NOT_SENT;
+      const reach = answer?.error.deliveryState ?? DeliveryState.NOT_SENT;
       const detail = `${server}: ${answer?.error.message ?? 'not known'}`;
       this.options.log.warn('call_failed', {
         request: call.requestId,
@@ -182,10 +182,13 @@
         reach,
         detail,
       });
-      return reach === Reach.NOT_SENT
+      return reach === DeliveryState.NOT_SENT
         ? {
             kind: DispatchKind.NOT_SENT,
-            problem: {...problems.serverFailed(detail), ran: Ran.NO},
+            problem: {
+              ...problems.serverFailed(detail),
+              ran: ExecutionStatus.NOT_EXECUTED,
+            },
           }
         : {kind: DispatchKind.LOST, detail};
     }
--- a/src/slopes/measure_daemon.ts
+++ b/src/slopes/measure_daemon.ts
@@ -1,7 +1,7 @@
 import {readFile} from 'node:fs/promises';
 import {got} from 'got';
 import {hashKey} from '../caller/index.js';
-import {LogMembers} from '../log/index.js';
+import {LogFields} from '../log/index.js';
 import {TrialCaller, TrialPlan, TrialSystem} from '../trial/index.js';
 
 const KEY = 'bench-caller-key';
@@ -63,7 +63,7 @@
 };
 
 /** Measures CPU time and memory of one host in an idle system of the current size. */
-export async function measureIdleAtCurrentSize(): Promise<LogMembers> {
+export async function measureIdleAtCurrentSize(): Promise<LogFields> {
   const system = new TrialSystem(CURRENT_SIZE_PLAN);
   try {
     await system.start();
@@ -76,7 +76,7 @@
 }
 
 /** Benchmarks the daemon over loopback and compares it with direct calls to the fakes. */
-export async function measureDaemon(): Promise<LogMembers[]> {
+export async function measureDaemon(): Promise<LogFields[]> {
   const system = new TrialSystem(BENCH_PLAN);
   try {
     await system.start();
@@ -124,7 +124,7 @@
 }
 
 /** Measures CPU time and memory of a host that serves no requests. */
-async function measureIdle(system: TrialSystem): Promise<LogMembers> {
+async function measureIdle(system: TrialSystem): Promise<LogFields> {
   const pid = getPid(system);
   const cpuSecondsBefore = await readCpuSeconds(pid);
   await delay(IDLE_MS);
@@ -136,7 +136,7 @@
   };
 }
 
-async function measureBookings(system: TrialSystem): Promise<LogMembers[]> {
+async function measureBookings(system: TrialSystem): Promise<LogFields[]> {
   const caller = createCaller(system);
   const direct: number[] = [];
   const minted: number[] = [];
@@ -164,7 +164,7 @@
   ];
 }
 
-async function measureFirstTokens(system: TrialSystem): Promise<LogMembers[]> {
+async function measureFirstTokens(system: TrialSystem): Promise<LogFields[]> {
   const engine = system.servers[0]?.url ?? '';
   const viaHost: number[] = [];
   const direct: number[] = [];
@@ -192,7 +192,7 @@
 }
 
 /** Measures tokens per second, and per second of CPU time, of 200 concurrent streams. */
-async function measureThroughput(system: TrialSystem): Promise<LogMembers> {
+async function measureThroughput(system: TrialSystem): Promise<LogFields> {
   const caller = createCaller(system);
   const pid = getPid(system);
   const cpuSecondsBefore = await readCpuSeconds(pid);
@@ -216,7 +216,7 @@
   };
 }
 
-async function measureOpenStreams(system: TrialSystem): Promise<LogMembers> {
+async function measureOpenStreams(system: TrialSystem): Promise<LogFields> {
   const caller = createCaller(system);
   const pid = getPid(system);
   const memoryBeforeMb = await readMemoryMb(pid);
@@ -239,7 +239,7 @@
   bench: string,
   viaHost: readonly number[],
   direct: readonly number[],
-): LogMembers {
+): LogFields {
   return {
     bench,
     runs: viaHost.length,
--- a/src/slopes/measure_limits.ts
+++ b/src/slopes/measure_limits.ts
@@ -1,7 +1,7 @@
 import {Encoder} from 'cbor-x';
 import {Maybe, Result} from 'true-myth';
 import {Fleet, FleetState} from '../fleet/index.js';
-import {LogMembers, SilentLog} from '../log/index.js';
+import {LogFields, SilentLog} from '../log/index.js';
 import {Metrics} from '../metrics/index.js';
 import {ServerLimits} from '../limits/index.js';
 import {SeededRandom} from '../random/index.js';
@@ -24,7 +24,7 @@
  * Measures the cost of server limits: the time of the queries before a server is chosen, and the
  * size of a message with all limits.
  */
-export function measureLimits(): LogMembers[] {
+export function measureLimits(): LogFields[] {
   return SIZES.map(measureSize);
 }
 
@@ -34,7 +34,7 @@
 }: {
   readonly servers: number;
   readonly limited: number;
-}): LogMembers {
+}): LogFields {
   const fleet = createFleet(servers);
   const limits = createLimits();
   for (let index = 0; index < limited; index++) {
@@ -70,10 +70,10 @@
 
 function listExcluded(fleet: Fleet, limits: ServerLimits): readonly string[] {
   if (fleet.hasReady(SERVICE, ({id}) => !limits.isLimited(id))) {
-    return limits.listUsedUp();
+    return limits.listWithoutPermit();
   }
   const servers = fleet.listServers(SERVICE).map(({id}) => id);
-  return limits.listWithheld(SERVICE, servers, 0);
+  return limits.listExcluded(SERVICE, servers, 0);
 }
 
 function createFleet(count: number): Fleet {
@@ -86,7 +86,7 @@
   });
   for (let index = 0; index < count; index++) {
     const id = createServerId(index);
-    fleet.set(
+    fleet.register(
       {
         id,
         name: id,
@@ -109,8 +109,8 @@
     clock: new SystemClock(),
     log: new SilentLog(),
     metrics: new Metrics(),
-    getTrueMs: () => Date.now(),
-    getTurn: () => ({hosts: HOSTS, place: 7}),
+    getReferenceMs: () => Date.now(),
+    getHostPosition: () => ({hosts: HOSTS, place: 7}),
     isKnownServer: () => true,
   });
 }
--- a/src/slopes/measure_slopes.ts
+++ b/src/slopes/measure_slopes.ts
@@ -8,7 +8,7 @@
 } from '../configuration/index.js';
 import {Generation} from '../generation/index.js';
 import {EntryState} from '../journal/index.js';
-import {LogMembers, SilentLog} from '../log/index.js';
+import {LogFields, SilentLog} from '../log/index.js';
 import {
   Heartbeat,
   heartbeatSchema,
@@ -52,7 +52,7 @@
  * Measures how the costs of membership, routing, configuration, generations and journal entries
  * grow, for docs/CAPACITY.md.
  */
-export function measureSlopes(): LogMembers[] {
+export function measureSlopes(): LogFields[] {
   return [
     ...MEMBER_SIZES.map(measureMembership),
     ...SERVER_SIZES.map(measureRouting),
@@ -63,7 +63,7 @@
 }
 
 /** Measures bytes sent and CPU time for the heartbeats of one host. */
-function measureMembership(size: {hosts: number; centres: number}): LogMembers {
+function measureMembership(size: {hosts: number; centres: number}): LogFields {
   const perCentre = Math.ceil(size.hosts / size.centres);
   const servers = Math.min(
     MAX_SERVERS,
@@ -199,7 +199,7 @@
 }
 
 /** Measures the time of one routing decision, and memory, by number of known servers. */
-function measureRouting(count: number): LogMembers {
+function measureRouting(count: number): LogFields {
   const heapBytesBefore = getHeapBytes();
   const directory = new ServerDirectory(
     {
@@ -264,7 +264,7 @@
 }
 
 /** Measures the time to apply a revision, and memory, by number of records. */
-function measureConfiguration(count: number): LogMembers {
+function measureConfiguration(count: number): LogFields {
   const heapBytesBefore = getHeapBytes();
   const store = new ConfigurationStore(new SilentLog());
   const records = Array.from({length: count}, (_unused, index) => ({
@@ -299,7 +299,7 @@
 }
 
 /** Measures the memory of open generations with 200 tokens each. */
-function measureGenerations(count: number): LogMembers {
+function measureGenerations(count: number): LogFields {
   const heapBytesBefore = getHeapBytes();
   const open: Generation[] = [];
   for (let index = 0; index < count; index++) {
@@ -332,7 +332,7 @@
 }
 
 /** Measures the memory and record size of journal entries with small answers. */
-function measureEntries(count: number): LogMembers {
+function measureEntries(count: number): LogFields {
   const heapBytesBefore = getHeapBytes();
   const entries = new Map<string, unknown>();
   for (let index = 0; index < count; index++) {
@@ -367,7 +367,7 @@
  * Measures the bytes that leaving hosts add to a heartbeat. This cost is expected to be
  * negligible; the measurement verifies that.
  */
-export function measureLeaving(count: number): LogMembers {
+export function measureLeaving(count: number): LogFields {
   const leaving = new LeavingHosts(clock, new SilentLog());
   leaving.addNotices(
     Array.from({length: count}, (_unused, index) => ({
--- a/src/table/http_table_service.ts
+++ b/src/table/http_table_service.ts
@@ -1,5 +1,5 @@
 import {Result} from 'true-myth';
-import {HttpAnswer, HttpFailure, sendJson} from '../http/index.js';
+import {HttpResponse, HttpFailure, sendJson} from '../http/index.js';
 import {
   Commit,
   Row,
@@ -63,7 +63,7 @@
 }
 
 function readAnswer<T>(
-  answer: Result<HttpAnswer, HttpFailure>,
+  answer: Result<HttpResponse, HttpFailure>,
 ): Result<T, TableFailure> {
   if (answer.isErr) {
     return Result.err({
--- a/src/time/end_with_any.ts
+++ b/src/time/combine_signals.ts
@@ -5,7 +5,7 @@
  * returned one. `AbortSignal.any` avoids that, but costs CPU time on each request.
  * @param signals - Signals to combine.
  */
-export function endWithAny(signals: readonly AbortSignal[]): AbortSignal {
+export function combineSignals(signals: readonly AbortSignal[]): AbortSignal {
   const combined = new AbortController();
   for (const signal of signals) {
     if (signal.aborted) {
--- a/src/time/silence_watch.ts
+++ b/src/time/inactivity_timeout.ts
@@ -10,7 +10,7 @@
  * data. A stream needs one timer, not one per token: `touch` only stores the time,
  * and the timer is restarted when it fires.
  */
-export class SilenceWatch {
+export class InactivityTimeout {
   private readonly controller = new AbortController();
   private lastActivityMs: number;
   private cancel: CancelTimer = () => undefined;
--- a/src/usage/true_time.ts
+++ b/src/usage/reference_time.ts
@@ -10,7 +10,7 @@
  * the table. Reference time is the shared clock plus the median of these offsets, which
  * a few hosts with a stepped wall clock do not change.
  */
-export class TrueTime {
+export class ReferenceTime {
   /** Table's clock minus this host's monotonic clock, in milliseconds. */
   private sharedOffsetMs: number | undefined;
   private readonly offsets = new Map<string, number>();
@@ -55,7 +55,7 @@
   }
 
   /** Returns the median of the hosts' offsets; absent before the first reading. */
-  getUsualOffset(): number | undefined {
+  getMedianOffset(): number | undefined {
     const own = this.readOwnOffset();
     if (own === undefined) {
       return undefined;
@@ -68,7 +68,7 @@
   /** Returns reference time in Unix milliseconds; the wall clock before the first reading. */
   getMs(): number {
     const sharedMs = this.readSharedMs();
-    const offsetMs = this.getUsualOffset();
+    const offsetMs = this.getMedianOffset();
     return sharedMs === undefined || offsetMs === undefined
       ? this.clock.now().getTime()
       : sharedMs + offsetMs;
--- a/src/usage/usage_reporter.ts
+++ b/src/usage/usage_reporter.ts
@@ -23,16 +23,16 @@
   /** Host and incarnation of this process. */
   readonly origin: string;
   /** Returns whether a holder of the duty is reachable, and so receives this host's counts. */
-  readonly hearsHolder: () => boolean;
+  readonly reachesHolder: () => boolean;
   /** Returns whether this host is in contact with all known hosts. */
-  readonly hearsAll: () => boolean;
+  readonly reachesAll: () => boolean;
   /** Requests the counts of a window from all peers. */
   readonly gather: (window: number) => Promise<void>;
   /** Returns reference time in Unix milliseconds. */
-  readonly getTrueMs: () => number;
+  readonly getReferenceMs: () => number;
   readonly windowMs: number;
   /** Time after the end of a window from which its report is too late, in milliseconds. */
-  readonly lateMs: number;
+  readonly deadlineMs: number;
   readonly send: SendUsage;
 }
 
@@ -66,10 +66,10 @@
 
   /** Writes and reports counts until aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    const {clock, ledger, getTrueMs, lateMs} = this.options;
-    this.lastWritten = ledger.getWindow(getTrueMs()) - 1;
+    const {clock, ledger, getReferenceMs, deadlineMs} = this.options;
+    this.lastWritten = ledger.getWindow(getReferenceMs()) - 1;
     // Check again the windows that an earlier holder may not have reported.
-    this.lastReported = ledger.getWindow(getTrueMs() - lateMs) - 1;
+    this.lastReported = ledger.getWindow(getReferenceMs() - deadlineMs) - 1;
     while (!signal.aborted) {
       const isHolder = this.options.duty.isHeld();
       await clock.sleep(
@@ -83,20 +83,20 @@
 
   /** Writes the counts so far to the table; called when this host stops. */
   async flush(): Promise<void> {
-    const {ledger, getTrueMs} = this.options;
-    const window = ledger.getWindow(getTrueMs());
+    const {ledger, getReferenceMs} = this.options;
+    const window = ledger.getWindow(getReferenceMs());
     await this.writeCounts(window - 1);
     await this.writeCounts(window);
   }
 
   private async writeOwn(): Promise<void> {
-    const {ledger, getTrueMs, duty} = this.options;
-    const window = ledger.getWindow(getTrueMs()) - 1;
+    const {ledger, getReferenceMs, duty} = this.options;
+    const window = ledger.getWindow(getReferenceMs()) - 1;
     if (window <= this.lastWritten) {
       return;
     }
     const isDone =
-      this.options.hearsHolder() ||
+      this.options.reachesHolder() ||
       duty.getFence() !== undefined ||
       (await this.writeCounts(window));
     if (isDone) {
@@ -118,10 +118,10 @@
   }
 
   private async report(): Promise<void> {
-    const {duty, ledger, getTrueMs, windowMs, lateMs} = this.options;
-    const nowMs = getTrueMs();
+    const {duty, ledger, getReferenceMs, windowMs, deadlineMs} = this.options;
+    const nowMs = getReferenceMs();
     const last = ledger.getWindow(nowMs - SETTLE_DELAY_MS) - 1;
-    const first = ledger.getWindow(nowMs - lateMs - windowMs) + 1;
+    const first = ledger.getWindow(nowMs - deadlineMs - windowMs) + 1;
     for (
       let window = Math.max(first, this.lastReported + 1);
       window <= last;
@@ -129,7 +129,7 @@
     ) {
       const ageMs = nowMs - (window + 1) * windowMs;
       const isComplete =
-        this.options.hearsAll() || ageMs > UNREACHABLE_HOST_TIMEOUT_MS;
+        this.options.reachesAll() || ageMs > UNREACHABLE_HOST_TIMEOUT_MS;
       if (duty.getFence() === undefined || !isComplete) {
         return;
       }
--- a/test/admission/decide_by_wait_test.ts
+++ b/test/admission/decide_by_wait_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {decideByWait} from '../../src/admission/index.js';
-import {Ran} from '../../src/errors/index.js';
+import {ExecutionStatus} from '../../src/errors/index.js';
 import {SeededRandom} from '../../src/random/index.js';
 
 /** Prompt tokens an engine computes per millisecond. */
@@ -19,7 +19,7 @@
   it('refuses other streams with a retry time', () => {
     const problem = decideByWait(1400, TARGET_MS, random);
     expect(problem?.status).to.equal(503);
-    expect(problem?.ran).to.equal(Ran.NO);
+    expect(problem?.ran).to.equal(ExecutionStatus.NOT_EXECUTED);
     expect(problem?.retryAfterSeconds).to.be.within(1, 2);
   });
 
--- a/test/attempts/attempts_test.ts
+++ b/test/attempts/attempts_test.ts
@@ -11,7 +11,7 @@
     return new Attempts({
       repeat,
       maxRuns: 2,
-      maxNotRun: 3,
+      maxUnexecuted: 3,
       spendRetry: () => left-- > 0,
     });
   }
@@ -19,21 +19,23 @@
   describe('of a request that may run once', () => {
     it('continue while it is certain that no server has run it', () => {
       const attempts = create(Repeat.ONCE);
-      expect(attempts.fail('a', false)).to.equal(true);
+      expect(attempts.recordFailure('a', false)).to.equal(true);
       expect(attempts.mayHaveRun()).to.equal(false);
       expect([...attempts.excluded]).to.deep.equal(['a']);
     });
 
     it('end once a server may have run it', () => {
       const attempts = create(Repeat.ONCE);
-      expect(attempts.fail('a', true)).to.equal(false);
+      expect(attempts.recordFailure('a', true)).to.equal(false);
       expect(attempts.mayHaveRun()).to.equal(true);
-      expect(attempts.hasSpare()).to.equal(false);
+      expect(attempts.mayRetryAfterFailure()).to.equal(false);
     });
 
     it('end after the maximum number of servers that did not run it', () => {
       const attempts = create(Repeat.ONCE);
-      const more = ['a', 'b', 'c', 'd'].map(name => attempts.fail(name, false));
+      const more = ['a', 'b', 'c', 'd'].map(name =>
+        attempts.recordFailure(name, false),
+      );
       expect(more).to.deep.equal([true, true, true, false]);
     });
   });
@@ -42,10 +44,10 @@
     for (const repeat of [Repeat.ANY, Repeat.RESUME]) {
       it(`end after the maximum number of runs (${repeat})`, () => {
         const attempts = create(repeat);
-        expect(attempts.hasSpare()).to.equal(true);
-        expect(attempts.fail('a', true)).to.equal(true);
-        expect(attempts.hasSpare()).to.equal(false);
-        expect(attempts.fail('b', true)).to.equal(false);
+        expect(attempts.mayRetryAfterFailure()).to.equal(true);
+        expect(attempts.recordFailure('a', true)).to.equal(true);
+        expect(attempts.mayRetryAfterFailure()).to.equal(false);
+        expect(attempts.recordFailure('b', true)).to.equal(false);
       });
     }
   });
--- a/test/fleet/fleet_test.ts
+++ b/test/fleet/fleet_test.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
 import {
-  createStartId,
+  createIncarnationId,
   Fleet,
   FleetState,
-  FlightEnd,
+  RequestOutcome,
   HostLoad,
   PartUpdates,
   PromptPart,
@@ -41,7 +41,7 @@
     peerLoads = [];
     fleet = createFleet(clock, () => peerLoads);
     for (const id of ['a', 'b']) {
-      fleet.set(
+      fleet.register(
         {
           id,
           name: id,
@@ -73,13 +73,13 @@
   });
 
   it('lists the shared parts that it sends, without the part specific to the request', () => {
-    fleet.startFlight('a', [shared, own], 0);
+    fleet.trackRequest('a', [shared, own], 0);
     expect(fleet.listSentParts()).to.deep.equal([{server: 'a', part: shared}]);
   });
 
   it('counts pending tokens of the same rank and of more urgent ones as ahead of a request', () => {
-    fleet.startFlight('a', [{id: 'x', tokens: 9000}], 0, 2);
-    fleet.startFlight('a', [{id: 'y', tokens: 4000}], 0, 1);
+    fleet.trackRequest('a', [{id: 'x', tokens: 9000}], 0, 2);
+    fleet.trackRequest('a', [{id: 'y', tokens: 4000}], 0, 1);
     peerLoads = [
       {
         server: 'a',
@@ -146,9 +146,9 @@
   });
 
   function register(startedMs: number, state: FleetState = FleetState.READY) {
-    fleet.set(
+    fleet.register(
       {
-        id: createStartId('a', startedMs),
+        id: createIncarnationId('a', startedMs),
         name: 'a',
         startedMs,
         service: SERVICE,
@@ -164,10 +164,10 @@
 
   it('terminates the previous incarnation and carries nothing over from it', async () => {
     register(1000);
-    const flight = fleet.startFlight('a@1000', [shared, own], 0);
+    const flight = fleet.trackRequest('a@1000', [shared, own], 0);
     flight.addFirstByte(9000);
     for (let failures = 0; failures < 3; failures++) {
-      fleet.startFlight('a@1000', [], 0).finish(FlightEnd.FAILED);
+      fleet.trackRequest('a@1000', [], 0).finish(RequestOutcome.FAILED);
     }
     fleet.addPeerParts([{server: 'a@1000', part: shared}]);
     peerLoads = [
@@ -214,7 +214,7 @@
 
   it('restores the server when its entry had only expired', () => {
     register(2000);
-    fleet.remove('a', 'test');
+    fleet.unregister('a', 'test');
     register(2000);
     expect(states).to.deep.equal([
       'a@2000 ready',
@@ -225,21 +225,21 @@
 
   it('ignores an earlier incarnation also after the entry has ended', () => {
     register(2000);
-    fleet.remove('a', 'test');
+    fleet.unregister('a', 'test');
     register(1000);
     expect(states).to.deep.equal(['a@2000 ready', 'a@2000 gone']);
   });
 
   it('removes an unregistered incarnation after the retention time', async () => {
     register(2000);
-    fleet.remove('a', 'test');
+    fleet.unregister('a', 'test');
     await clock.advance(70_000);
-    fleet.remove('b', 'test');
+    fleet.unregister('b', 'test');
     expect(fleet.listStates()).to.deep.equal([]);
   });
 });
 
-describe('PartNews', () => {
+describe('PartUpdates', () => {
   it('lists a part once per server, for a limited time', async () => {
     const clock = new VirtualClock();
     const updates = new PartUpdates(clock);
--- a/test/fleet/part_memory_test.ts
+++ b/test/fleet/part_cache_test.ts
@@ -1,12 +1,12 @@
 import {expect} from 'chai';
-import {PartMemory} from '../../src/fleet/index.js';
+import {PartCache} from '../../src/fleet/index.js';
 
-describe('PartMemory', () => {
+describe('PartCache', () => {
   const shared = {id: 'a', tokens: 500};
   const own = {id: 'b', tokens: 100};
 
   it('counts leading parts only', () => {
-    const memory = new PartMemory(10_000);
+    const memory = new PartCache(10_000);
     memory.add([own]);
     expect(memory.countCachedTokens([shared, own])).to.equal(0);
     memory.add([shared, own]);
@@ -14,7 +14,7 @@
   });
 
   it('drops the least recently used part first', () => {
-    const memory = new PartMemory(1000);
+    const memory = new PartCache(1000);
     memory.add([shared]);
     memory.add([{id: 'c', tokens: 400}]);
     memory.add([shared]);
--- a/test/generation/generation_runner_test.ts
+++ b/test/generation/generation_runner_test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {GenerationFormat, ModelEngine, Token} from '../../src/backend/index.js';
 import {Server} from '../../src/configuration/index.js';
-import {ProblemKind, Ran} from '../../src/errors/index.js';
+import {ProblemKind, ExecutionStatus} from '../../src/errors/index.js';
 import {
   AnswerLengths,
   checkToken,
@@ -16,16 +16,19 @@
   RetryBudget,
   ServerDirectory,
 } from '../../src/routing/index.js';
-import {DEPLOYMENT, ServersThatEnd} from '../quarantine/servers_that_end.js';
+import {
+  DEPLOYMENT,
+  TerminatingServers,
+} from '../quarantine/terminating_servers.js';
 
 const LETHAL_PROMPT = 'terminates its server';
 
 describe('GenerationRunner', () => {
-  let servers: ServersThatEnd;
+  let servers: TerminatingServers;
   let runner: GenerationRunner;
 
   beforeEach(() => {
-    servers = new ServersThatEnd('engine');
+    servers = new TerminatingServers('engine');
     const {clock, configuration} = servers;
     const directory = new ServerDirectory(
       {
@@ -65,8 +68,8 @@
       chooseServer,
       checkToken,
       isLeaving: () => false,
-      firstTokenSilenceMs: 5000,
-      silenceMs: 1000,
+      firstTokenTimeoutMs: 5000,
+      tokenTimeoutMs: 1000,
     });
   });
 
@@ -76,7 +79,7 @@
       readonly body: Readonly<Record<string, unknown>>;
     }): AsyncGenerator<Token> {
       if (order.body['prompt'] === LETHAL_PROMPT) {
-        throw servers.end(name, address);
+        throw servers.terminate(name, address);
       }
       const {requestId} = order;
       yield {requestId, position: 0, text: 'x', finishReason: 'stop'};
@@ -117,14 +120,14 @@
       expect(servers.ends).to.have.length(3);
       const problem = end?.kind === 'failed' ? end.problem : undefined;
       expect(problem?.kind).to.equal(ProblemKind.QUARANTINED);
-      expect(problem?.ran).to.equal(Ran.UNKNOWN);
+      expect(problem?.ran).to.equal(ExecutionStatus.UNKNOWN);
     });
 
     it('is refused as not run when it is requested again', async () => {
       await run(LETHAL_PROMPT);
       const end = await run(LETHAL_PROMPT);
       const problem = end?.kind === 'failed' ? end.problem : undefined;
-      expect(problem?.ran).to.equal(Ran.NO);
+      expect(problem?.ran).to.equal(ExecutionStatus.NOT_EXECUTED);
       expect(servers.ends).to.have.length(3);
     });
 
--- a/test/limits/limited_server.ts
+++ b/test/limits/limited_server.ts
@@ -1,7 +1,7 @@
 import {Maybe, Result} from 'true-myth';
 import {Random, SeededRandom} from '../../src/random/index.js';
 import {HostsFixture} from '../peering/hosts_fixture.js';
-import {WordsHost} from '../peering/words_fixture.js';
+import {PeerHost} from '../peering/peer_host.js';
 
 export const SERVER = 'i-1';
 export const SERVICE = 'desk';
@@ -71,7 +71,7 @@
     return this.fixture.clock.monotonicMs();
   }
 
-  private sendFrom(host: WordsHost): void {
+  private sendFrom(host: PeerHost): void {
     const {host: name} = host.self;
     if (this.fixture.down.has(name) || this.fixture.paused.has(name)) {
       return;
@@ -83,12 +83,12 @@
     }
   }
 
-  private send({limits}: WordsHost): void {
+  private send({limits}: PeerHost): void {
     limits.addRequest(SERVICE, 0);
-    if (limits.listWithheld(SERVICE, [SERVER], 0).length > 0) {
+    if (limits.listExcluded(SERVICE, [SERVER], 0).length > 0) {
       return;
     }
-    limits.take(SERVER);
+    limits.takePermit(SERVER);
     const nowMs = this.getNowMs();
     this.arrivalsMs.push(nowMs);
     if (limits.getLimit(SERVER) !== undefined) {
--- a/test/limits/server_limits_test.ts
+++ b/test/limits/server_limits_test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {Maybe, Result} from 'true-myth';
 import {ServerLimits, ReportedLimit} from '../../src/limits/index.js';
-import {Log, LogMembers} from '../../src/log/index.js';
+import {Log, LogFields} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
 import {VirtualClock} from '../../src/time/index.js';
 
@@ -11,17 +11,17 @@
 
 /** Records the logged lines. */
 class RecordingLog implements Log {
-  readonly lines: (readonly [event: string, members: LogMembers])[] = [];
+  readonly lines: (readonly [event: string, members: LogFields])[] = [];
 
-  info(event: string, members: LogMembers = {}): void {
+  info(event: string, members: LogFields = {}): void {
     this.lines.push([event, members]);
   }
 
-  warn(event: string, members: LogMembers = {}): void {
+  warn(event: string, members: LogFields = {}): void {
     this.lines.push([event, members]);
   }
 
-  error(event: string, members: LogMembers = {}): void {
+  error(event: string, members: LogFields = {}): void {
     this.lines.push([event, members]);
   }
 
@@ -51,8 +51,8 @@
       clock,
       log,
       metrics,
-      getTrueMs: () => clock.now().getTime(),
-      getTurn: () => ({hosts: 1, place: 0}),
+      getReferenceMs: () => clock.now().getTime(),
+      getHostPosition: () => ({hosts: 1, place: 0}),
       isKnownServer: () => known,
     });
   }
@@ -71,7 +71,7 @@
   }
 
   function isExcluded(server: string, rank = 0): boolean {
-    return limits.listWithheld(SERVICE, [server], rank).length > 0;
+    return limits.listExcluded(SERVICE, [server], rank).length > 0;
   }
 
   describe('an answer', () => {
@@ -208,10 +208,10 @@
       const started = create();
       started.addAnswer('s1', Result.ok(Maybe.just(50)), 0);
       await clock.advance(1000);
-      started.listWithheld(SERVICE, ['s1'], 0);
-      expect(started.listWithheld(SERVICE, ['s1'], 0)).to.deep.equal(['s1']);
+      started.listExcluded(SERVICE, ['s1'], 0);
+      expect(started.listExcluded(SERVICE, ['s1'], 0)).to.deep.equal(['s1']);
       await clock.advance(1000);
-      expect(started.listWithheld(SERVICE, ['s1'], 0)).to.deep.equal([]);
+      expect(started.listExcluded(SERVICE, ['s1'], 0)).to.deep.equal([]);
     });
 
     it('are reserved for more urgent requests, and used if these are few', async () => {
@@ -223,7 +223,7 @@
         for (const rank of [1, ...(step % 20 === 0 ? [0] : [])]) {
           limits.addRequest(SERVICE, rank);
           if (!isExcluded('s1', rank)) {
-            limits.take('s1');
+            limits.takePermit('s1');
             served[rank] = (served[rank] ?? 0) + 1;
           }
         }
@@ -241,7 +241,7 @@
         for (const rank of [0, 1]) {
           limits.addRequest(SERVICE, rank);
           if (!isExcluded('s1', rank)) {
-            limits.take('s1');
+            limits.takePermit('s1');
             others += rank;
           }
         }
--- a/test/limits/shared_limit_test.ts
+++ b/test/limits/shared_limit_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {HostsFixture} from '../peering/hosts_fixture.js';
-import {WordsHost} from '../peering/words_fixture.js';
+import {PeerHost} from '../peering/peer_host.js';
 import {getAllowed, LimitedServer, WINDOW_MS} from './limited_server.js';
 
 /** Time in which hosts discover each other, in milliseconds. */
@@ -100,7 +100,7 @@
 
   it('is obeyed when a host resumes after a pause in which the limit was stated', async () => {
     const server = await start(8, 4, 25);
-    const [host] = server.fixture.hosts as [WordsHost];
+    const [host] = server.fixture.hosts as [PeerHost];
     await server.run(PROPAGATION_MS);
     server.fixture.paused.add(host.self.host);
     server.limit = 2.6;
@@ -207,7 +207,7 @@
           const fromMs = server.getNowMs();
           for (let turn = 0; turn < 8; turn++) {
             const index = (seed * 7 + turn * 3) % hosts;
-            server.fixture.kill(server.fixture.hosts[index] as WordsHost);
+            server.fixture.kill(server.fixture.hosts[index] as PeerHost);
             await server.run(300 * seed);
             server.fixture.start(index);
             await server.run(700);
--- a/test/peer/peers_test.ts
+++ b/test/peer/peers_test.ts
@@ -21,7 +21,7 @@
       self: {host, dataCentre: 'tac', incarnation: `incarnation-of-${host}`},
       key,
       maxFrameBytes: 100_000,
-      idleLimitMs: 2 * (HEARTBEAT_MS + HEARTBEAT_TIMEOUT_MS),
+      idleTimeoutMs: 2 * (HEARTBEAT_MS + HEARTBEAT_TIMEOUT_MS),
       handle: async (request, from) => {
         heartbeatSenders.push(from.host);
         return {echo: request};
@@ -33,7 +33,7 @@
       connection,
       random: new SeededRandom(1),
       heartbeatMs: HEARTBEAT_MS,
-      silenceMs: HEARTBEAT_TIMEOUT_MS,
+      heartbeatTimeoutMs: HEARTBEAT_TIMEOUT_MS,
       seeds,
       listCandidates: () => [],
       createHeartbeat: () => ({kind: 'beat'}),
--- a/test/peering/hosts_fixture.ts
+++ b/test/peering/hosts_fixture.ts
@@ -3,7 +3,7 @@
 import {PeerIdentity} from '../../src/peer/index.js';
 import {SeededRandom} from '../../src/random/index.js';
 import {VirtualClock} from '../../src/time/index.js';
-import {WordsHost} from './words_fixture.js';
+import {PeerHost} from './peer_host.js';
 
 const HEARTBEAT_MS = 400;
 /** Time after which a link without replies is closed, in milliseconds. */
@@ -22,7 +22,7 @@
 /** Hosts that exchange heartbeats over simulated links, on a virtual clock. */
 export class HostsFixture {
   readonly clock = new VirtualClock();
-  readonly hosts: WordsHost[] = [];
+  readonly hosts: PeerHost[] = [];
   /** Names of the hosts whose process has terminated. */
   readonly down = new Set<string>();
   /** Names of the hosts that are paused. */
@@ -49,9 +49,9 @@
   }
 
   /** Starts or restarts a host; it knows the addresses of all hosts from the table. */
-  start(index: number): WordsHost {
+  start(index: number): PeerHost {
     const self = this.getAddress(index);
-    const host = new WordsHost(self, `start-${this.starts++}`, this.clock, {
+    const host = new PeerHost(self, `start-${this.starts++}`, this.clock, {
       requestPeer: (to, body) => this.request(self, to, body),
       listConnected: () => this.listConnected(self.host),
     });
@@ -65,7 +65,7 @@
   }
 
   /** Terminates a host at once. */
-  kill(host: WordsHost): void {
+  kill(host: PeerHost): void {
     this.down.add(host.self.host);
     this.links.set(host.self.host, new Map());
     for (const links of this.links.values()) {
@@ -74,7 +74,7 @@
   }
 
   /** Returns the aggregator of a data centre, by the ranking of its first live host. */
-  getAggregator(dataCentre: string): WordsHost {
+  getAggregator(dataCentre: string): PeerHost {
     const here = this.hosts.filter(
       ({self}) => self.dataCentre === dataCentre && this.isUp(self.host),
     );
@@ -111,7 +111,7 @@
     return !this.down.has(host) && !this.paused.has(host);
   }
 
-  private get(host: string): WordsHost | undefined {
+  private get(host: string): PeerHost | undefined {
     return this.hosts.find(({self}) => self.host === host);
   }
 
@@ -140,7 +140,7 @@
     }
   }
 
-  private updateLinks(host: WordsHost): void {
+  private updateLinks(host: PeerHost): void {
     const wanted = chooseRelayLinks(host.self, host.known);
     const links = this.links.get(host.self.host);
     const names = new Set(wanted.map(({host: name}) => name));
@@ -162,7 +162,7 @@
     }
   }
 
-  private async beat(host: WordsHost, to: string, link: Link): Promise<void> {
+  private async beat(host: PeerHost, to: string, link: Link): Promise<void> {
     const nowMs = this.clock.monotonicMs();
     const peer = this.get(to);
     link.dueMs = nowMs + HEARTBEAT_MS;
@@ -172,16 +172,19 @@
       return;
     }
     link.silentSinceMs = undefined;
-    const body = host.words.createHeartbeat(identify(peer), link.acknowledged);
-    link.acknowledged = await peer.words.handle(body, identify(host));
-    host.words.receiveReply(identify(peer), link.acknowledged, nowMs);
+    const body = host.messages.createHeartbeat(
+      identify(peer),
+      link.acknowledged,
+    );
+    link.acknowledged = await peer.messages.handle(body, identify(host));
+    host.messages.receiveReply(identify(peer), link.acknowledged, nowMs);
   }
 
   private noteSilence(
-    host: WordsHost,
+    host: PeerHost,
     to: string,
     link: Link,
-    peer: WordsHost | undefined,
+    peer: PeerHost | undefined,
   ): void {
     const nowMs = this.clock.monotonicMs();
     link.silentSinceMs ??= nowMs;
@@ -208,10 +211,10 @@
     if (!peer || !sender || !this.canTalk(from, peer.self)) {
       return Result.err(new Error('host not reachable'));
     }
-    return Result.ok(await peer.words.handle(body, identify(sender)));
+    return Result.ok(await peer.messages.handle(body, identify(sender)));
   }
 }
 
-function identify({self, incarnation}: WordsHost): PeerIdentity {
+function identify({self, incarnation}: PeerHost): PeerIdentity {
   return {host: self.host, dataCentre: self.dataCentre, incarnation};
 }
--- a/test/peering/known_hosts_test.ts
+++ b/test/peering/known_hosts_test.ts
@@ -26,7 +26,7 @@
       log: new SilentLog(),
       self,
       staleMs: 2000,
-      goneMs: 30_000,
+      expiryMs: 30_000,
     });
     for (let index = 1; index < 20; index++) {
       const dataCentre = index < 10 ? 'tac' : 'pdx';
--- a/test/peering/many_hosts_test.ts
+++ b/test/peering/many_hosts_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {HostsFixture} from './hosts_fixture.js';
-import {TABLE, WordsHost} from './words_fixture.js';
+import {TABLE, PeerHost} from './peer_host.js';
 
 /** Time in which all hosts learn of each other after the start, in milliseconds. */
 const MEET_MS = 5000;
@@ -9,18 +9,18 @@
 
 describe('messages between many hosts', () => {
   /** Starts requests of a host at a server, after adding the server to all hosts. */
-  function startWork(fixture: HostsFixture, host: WordsHost, count: number) {
+  function startWork(fixture: HostsFixture, host: PeerHost, count: number) {
     for (const other of fixture.hosts) {
       if (other.fleet.get('engine') === undefined) {
         other.addServer('engine');
       }
     }
     for (let request = 0; request < count; request++) {
-      host.fleet.startFlight('engine', [], 0);
+      host.fleet.trackRequest('engine', [], 0);
     }
   }
 
-  function listUp(fixture: HostsFixture): WordsHost[] {
+  function listUp(fixture: HostsFixture): PeerHost[] {
     return fixture.hosts.filter(({self}) => !fixture.down.has(self.host));
   }
 
@@ -44,7 +44,7 @@
         const fixture = new HostsFixture(count, centres);
         await fixture.run(MEET_MS);
         expect(
-          fixture.hosts.filter(({known}) => !known.hearsAll()),
+          fixture.hosts.filter(({known}) => !known.areAllAlive()),
         ).to.have.length(0);
         for (const host of fixture.hosts) {
           startWork(fixture, host, 2);
@@ -122,7 +122,7 @@
       }
       await fixture.run(RECOVER_MS);
       expect(
-        fixture.hosts.filter(({known}) => !known.hearsAll()),
+        fixture.hosts.filter(({known}) => !known.areAllAlive()),
       ).to.have.length(0);
     }).timeout(30_000);
 
@@ -234,7 +234,7 @@
       fixture = new HostsFixture(60, 3);
     });
 
-    function countRefused(host: WordsHost | undefined): number {
+    function countRefused(host: PeerHost | undefined): number {
       const line = host?.metrics
         .format()
         .split('\n')
@@ -256,7 +256,7 @@
     for (const [name, mistake] of Object.entries(wrong)) {
       it(`${name} are refused as a whole, and counted`, () => {
         const host = fixture.hosts[0];
-        host?.words.receiveReply(from, {all: {...summary, ...mistake}}, 0);
+        host?.messages.receiveReply(from, {all: {...summary, ...mistake}}, 0);
         expect(host?.reports.getAgeOfAllMs()).to.equal(Infinity);
         expect(countRefused(host)).to.equal(1);
       });
@@ -265,13 +265,13 @@
     it('that are repeated or out of order are refused', () => {
       const host = fixture.hosts[0];
       const demands = [['guild', 50]];
-      host?.words.receiveReply(
+      host?.messages.receiveReply(
         from,
         {all: {...summary, sequence: 2, demands}},
         0,
       );
-      host?.words.receiveReply(from, {all: {...summary, sequence: 1}}, 0);
-      host?.words.receiveReply(from, {all: {...summary, sequence: 2}}, 0);
+      host?.messages.receiveReply(from, {all: {...summary, sequence: 1}}, 0);
+      host?.messages.receiveReply(from, {all: {...summary, sequence: 2}}, 0);
       expect(host?.reports.sumDemand('guild')).to.equal(50);
       expect(countRefused(host)).to.equal(2);
     });
--- a/test/peering/words_fixture.ts
+++ b/test/peering/peer_host.ts
@@ -6,7 +6,7 @@
   HostAddress,
   HostReports,
   KnownHosts,
-  PeerWords,
+  PeerMessages,
   ReadAge,
 } from '../../src/peering/index.js';
 import {Quarantine} from '../../src/quarantine/index.js';
@@ -14,7 +14,7 @@
 import {SeededRandom} from '../../src/random/index.js';
 import {RowReplica} from '../../src/replica/index.js';
 import {Clock} from '../../src/time/index.js';
-import {HostUsage, TrueTime, UsageLedger} from '../../src/usage/index.js';
+import {HostUsage, ReferenceTime, UsageLedger} from '../../src/usage/index.js';
 
 export const WINDOW_MS = 5000;
 export const TABLE = 'servers';
@@ -28,7 +28,7 @@
 }
 
 /** One host with its state and messages, without sockets. */
-export class WordsHost {
+export class PeerHost {
   readonly known: KnownHosts;
   readonly reports: HostReports;
   readonly readAge: ReadAge;
@@ -37,10 +37,10 @@
   readonly ledger: UsageLedger;
   readonly hostUsage = new HostUsage();
   readonly metrics = new Metrics();
-  readonly replica = new RowReplica({getSubstance: text => text});
+  readonly replica = new RowReplica({getSignificantContent: text => text});
   readonly quarantine: Quarantine;
   readonly limits: ServerLimits;
-  readonly words: PeerWords;
+  readonly messages: PeerMessages;
   holdsDuties = false;
 
   constructor(
@@ -55,13 +55,13 @@
       log,
       self,
       staleMs: STALE_MS,
-      goneMs: GONE_MS,
+      expiryMs: GONE_MS,
     });
     this.reports = new HostReports({
       clock,
       dataCentre: self.dataCentre,
       staleMs: STALE_MS,
-      goneMs: GONE_MS,
+      expiryMs: GONE_MS,
     });
     this.readAge = new ReadAge(clock, [TABLE]);
     this.fleet = new Fleet({
@@ -74,9 +74,9 @@
     this.quota = new Quota({
       clock,
       sumPeerDemand: customer => this.reports.sumDemand(customer),
-      countTold: () => this.reports.countTold(),
+      countReportingHosts: () => this.reports.countReported(),
       countHosts: () => this.known.countHosts(),
-      countHeard: () => this.known.countAlive(),
+      countReachableHosts: () => this.known.countAlive(),
       getBound: () => ({windowMs: 8000, overage: 0.1, slack: 140_000}),
     });
     this.ledger = new UsageLedger(WINDOW_MS, () => clock.monotonicMs());
@@ -86,11 +86,11 @@
       clock,
       log,
       metrics,
-      getTrueMs: () => clock.now().getTime(),
-      getTurn: () => this.known.getTurn(),
+      getReferenceMs: () => clock.now().getTime(),
+      getHostPosition: () => this.known.getHostPosition(),
       isKnownServer: () => true,
     });
-    this.words = new PeerWords({
+    this.messages = new PeerMessages({
       self,
       incarnation,
       clock,
@@ -105,7 +105,7 @@
       quarantine: this.quarantine,
       ledger: this.ledger,
       hostUsage: this.hostUsage,
-      trueTime: new TrueTime(clock, self.host),
+      trueTime: new ReferenceTime(clock, self.host),
       replicas: new Map([[TABLE, this.replica]]),
       answerRollout: () => ({isHolder: false}),
       isStopping: () => false,
@@ -114,7 +114,7 @@
       listConnected: links.listConnected,
     });
     this.replica.addListener((_row, source) =>
-      this.words.passOnRows(TABLE, source === 'store'),
+      this.messages.forwardRows(TABLE, source === 'store'),
     );
   }
 
@@ -131,7 +131,7 @@
       state: FleetState.READY,
       reclaimable: false,
     };
-    this.fleet.set(server, 'test');
+    this.fleet.register(server, 'test');
   }
 
   /** Returns the requests of other hosts that run at a server, as this host knows. */
--- a/test/peering/peer_words_test.ts
+++ b/test/peering/peer_messages_test.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
-import {KnownHosts, PeerWords} from '../../src/peering/index.js';
+import {KnownHosts, PeerMessages} from '../../src/peering/index.js';
 import {VirtualClock} from '../../src/time/index.js';
 import {UsageLedger} from '../../src/usage/index.js';
-import {WINDOW_MS, WordsHost} from './words_fixture.js';
+import {WINDOW_MS, PeerHost} from './peer_host.js';
 
 const self = {host: 'front-1', dataCentre: 'here', address: '10.0.0.1:1'};
 const peer = {host: 'front-2', dataCentre: 'here', address: '10.0.0.2:1'};
@@ -12,22 +12,22 @@
   let clock: VirtualClock;
   let known: KnownHosts;
   let ledger: UsageLedger;
-  let words: PeerWords;
+  let messages: PeerMessages;
 
   beforeEach(() => {
     clock = new VirtualClock();
-    const host = new WordsHost(self, 'a', clock, {
+    const host = new PeerHost(self, 'a', clock, {
       requestPeer: () => {
         throw new Error('unexpected request to a peer');
       },
       listConnected: () => [],
     });
-    ({known, ledger, words} = host);
+    ({known, ledger, messages} = host);
     known.addAddress(peer);
   });
 
   function getReport(acknowledged?: unknown) {
-    const message = words.createHeartbeat(from, acknowledged);
+    const message = messages.createHeartbeat(from, acknowledged);
     if (message.kind !== 'heartbeat') {
       throw new Error('expected a heartbeat message');
     }
@@ -69,13 +69,13 @@
 
   it('acknowledges the list of a peer by its version', async () => {
     const report = getReport();
-    const reply = await words.handle({kind: 'heartbeat', report}, from);
+    const reply = await messages.handle({kind: 'heartbeat', report}, from);
     expect(reply).to.deep.equal({hostsVersion: report.hostsVersion});
   });
 
   it('accepts heartbeats of the previous release', async () => {
     const {hostsVersion: _version, parts: _parts, ...report} = getReport();
-    const reply = await words.handle({kind: 'heartbeat', report}, from);
+    const reply = await messages.handle({kind: 'heartbeat', report}, from);
     expect(reply).to.deep.equal({hostsVersion: 0});
   });
 });
--- a/test/peering/row_messages_property_test.ts
+++ b/test/peering/row_messages_property_test.ts
@@ -6,7 +6,7 @@
 import {SeededRandom} from '../../src/random/index.js';
 import {VersionedRow} from '../../src/replica/index.js';
 import {HostsFixture} from './hosts_fixture.js';
-import {WordsHost} from './words_fixture.js';
+import {PeerHost} from './peer_host.js';
 
 const HOSTS = 24;
 const CENTRES = 3;
@@ -52,7 +52,7 @@
   readonly fixture = new HostsFixture(HOSTS, CENTRES);
   readonly table = new Table();
   private readonly random: SeededRandom;
-  private readonly readings = new Map<WordsHost, Reading>();
+  private readonly readings = new Map<PeerHost, Reading>();
   private cut = new Set<string>();
 
   constructor(seed: number) {
@@ -78,7 +78,7 @@
   }
 
   /** Lists the rows in which a host differs from the table. */
-  listWrong({replica}: WordsHost): string[] {
+  listWrong({replica}: PeerHost): string[] {
     const wrong: string[] = [];
     for (let key = 0; key < KEYS; key++) {
       const name = `s${key}`;
@@ -138,7 +138,7 @@
   }
 
   private readFor(
-    {replica}: WordsHost,
+    {replica}: PeerHost,
     reading: Reading,
     isFirst: boolean,
     isTrusted: boolean,
--- a/test/peering/row_messages_test.ts
+++ b/test/peering/row_messages_test.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {VersionedRow} from '../../src/replica/index.js';
 import {HostsFixture} from './hosts_fixture.js';
-import {TABLE, WordsHost} from './words_fixture.js';
+import {TABLE, PeerHost} from './peer_host.js';
 
 const HOSTS = 16;
 /** Time in which every host gets the rows that one has read, in milliseconds. */
@@ -12,9 +12,9 @@
 describe('RowMessages', () => {
   let fixture: HostsFixture;
   /** Reads the table for all hosts. */
-  let reader: WordsHost;
+  let reader: PeerHost;
   /** Gets the rows only through other hosts. */
-  let member: WordsHost;
+  let member: PeerHost;
 
   beforeEach(async () => {
     fixture = new HostsFixture(HOSTS, 2);
@@ -101,7 +101,7 @@
 });
 
 /** Finds a host that gets the rows of the table only through other hosts. */
-function findMember(fixture: HostsFixture, reader: WordsHost): WordsHost {
+function findMember(fixture: HostsFixture, reader: PeerHost): PeerHost {
   const {dataCentre} = reader.self;
   const ranked = reader.known.rankAggregators(dataCentre);
   const last = ranked.at(-1)?.host;
--- a/test/peering/suspects_test.ts
+++ b/test/peering/suspects_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {HostsFixture} from './hosts_fixture.js';
-import {WordsHost} from './words_fixture.js';
+import {PeerHost} from './peer_host.js';
 
 /** Time in which all hosts learn of each other after the start, in milliseconds. */
 const MEET_MS = 5000;
@@ -10,16 +10,17 @@
 
 describe('messages about requests that terminate servers', () => {
   /** Records a server termination under one request at each host. */
-  function endServers(hosts: readonly WordsHost[]): void {
+  function endServers(hosts: readonly PeerHost[]): void {
     for (const [index, {quarantine}] of hosts.entries()) {
-      quarantine.addEnd(CONTENT, `s${index}`, index);
+      quarantine.addTermination(CONTENT, `s${index}`, index);
     }
   }
 
   function countUnaware(fixture: HostsFixture): number {
     return fixture.hosts.filter(
       ({self, quarantine}) =>
-        !fixture.down.has(self.host) && quarantine.getHeldMs(CONTENT) === 0,
+        !fixture.down.has(self.host) &&
+        quarantine.getRemainingBlockMs(CONTENT) === 0,
     ).length;
   }
 
@@ -42,7 +43,7 @@
     const fixture = new HostsFixture(8, 4);
     await fixture.run(MEET_MS);
     endServers(fixture.hosts.slice(0, 3));
-    fixture.kill(fixture.hosts[7] as WordsHost);
+    fixture.kill(fixture.hosts[7] as PeerHost);
     await fixture.run(KNOWN_MS);
     fixture.start(7);
     await fixture.run(KNOWN_MS);
@@ -71,8 +72,8 @@
   it('adds nothing to a heartbeat while there is no suspect', async () => {
     const fixture = new HostsFixture(8, 4);
     await fixture.run(MEET_MS);
-    const [host, peer] = fixture.hosts as [WordsHost, WordsHost];
-    const beat = host.words.createHeartbeat(
+    const [host, peer] = fixture.hosts as [PeerHost, PeerHost];
+    const beat = host.messages.createHeartbeat(
       {...peer.self, incarnation: peer.incarnation},
       undefined,
     );
--- a/test/peering/table_reading_test.ts
+++ b/test/peering/table_reading_test.ts
@@ -41,7 +41,7 @@
       log: new SilentLog(),
       self,
       staleMs: 2000,
-      goneMs: 30_000,
+      expiryMs: 30_000,
     });
     for (const host of hosts) {
       known.addAddress(host);
@@ -53,14 +53,16 @@
       known,
       readAge,
       knowsOthers: () => true,
-      getNewsMs: () => NEWS_MS,
+      getPropagationMs: () => NEWS_MS,
     });
     return {known, readAge, reading};
   }
 
   it('lets every host of a small fleet read', () => {
     for (let index = 0; index < 8; index++) {
-      expect(createReading(8, index).reading.rests('servers')).to.equal(false);
+      expect(createReading(8, index).reading.canSkip('servers')).to.equal(
+        false,
+      );
     }
   });
 
@@ -81,14 +83,14 @@
     for (const table of TABLES) {
       readAge.addReported(table, clock.monotonicMs());
     }
-    expect(reading.rests('servers')).to.equal(true);
+    expect(reading.canSkip('servers')).to.equal(true);
     await clock.advance(NEWS_MS * 0.65);
-    expect(reading.rests('servers')).to.equal(true);
+    expect(reading.canSkip('servers')).to.equal(true);
     await clock.advance(NEWS_MS * 0.1);
     // Each table is tried once at first, and then at intervals while it does not answer.
-    expect(reading.rests('servers')).to.equal(false);
-    expect(reading.rests('catalog')).to.equal(false);
-    expect(reading.rests('servers')).to.equal(true);
+    expect(reading.canSkip('servers')).to.equal(false);
+    expect(reading.canSkip('catalog')).to.equal(false);
+    expect(reading.canSkip('servers')).to.equal(true);
   });
 
   it('lets it continue while its own reads succeed, until it gets a recent report', async () => {
@@ -97,29 +99,29 @@
     for (const table of TABLES) {
       reading.addResponse(table);
     }
-    expect(reading.rests('servers')).to.equal(false);
-    expect(reading.rests('servers')).to.equal(false);
+    expect(reading.canSkip('servers')).to.equal(false);
+    expect(reading.canSkip('servers')).to.equal(false);
     readAge.addReported('servers', clock.monotonicMs() - 500);
-    expect(reading.rests('servers')).to.equal(true);
+    expect(reading.canSkip('servers')).to.equal(true);
   });
 
   it('lets a starting host read within 200 ms, but not at once', async () => {
     const {reading} = createReading(60, 30);
-    expect(reading.rests('servers')).to.equal(true);
+    expect(reading.canSkip('servers')).to.equal(true);
     await clock.advance(200);
-    expect(reading.rests('servers')).to.equal(false);
-    expect(reading.rests('catalog')).to.equal(false);
+    expect(reading.canSkip('servers')).to.equal(false);
+    expect(reading.canSkip('catalog')).to.equal(false);
   });
 
   it('does not delay the next reading after a successful one when the age from peers expires', async () => {
     const {readAge, reading} = createReading(60, 30);
     await clock.advance(5000);
-    expect(reading.rests('servers')).to.equal(false);
+    expect(reading.canSkip('servers')).to.equal(false);
     reading.addResponse('servers');
     readAge.addReported('servers', clock.monotonicMs());
-    expect(reading.rests('servers')).to.equal(true);
+    expect(reading.canSkip('servers')).to.equal(true);
     await clock.advance(NEWS_MS * 0.72);
-    expect(reading.rests('servers')).to.equal(false);
+    expect(reading.canSkip('servers')).to.equal(false);
   });
 
   it('spreads the attempts of hosts without reports while the store is down', async () => {
@@ -127,7 +129,7 @@
     await clock.advance(5000);
     let tries = 0;
     for (let step = 0; step < 100; step++) {
-      tries += reading.rests('servers') ? 0 : 1;
+      tries += reading.canSkip('servers') ? 0 : 1;
       await clock.advance(100);
     }
     expect(tries).to.be.within(3, 10);
--- a/test/platform/crashing_request_test.ts
+++ b/test/platform/crashing_request_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
-import {answerWith, Script, StandInServer} from './stand_in/stand_in_server.js';
-import {KEY, RunningHost, TestSystem} from './stand_in/stand_in_system.js';
+import {answerWith, Script, FakeServer} from './fakes/fake_server.js';
+import {KEY, RunningHost, TestSystem} from './fakes/test_system.js';
 
 /**
  * Guards against one customer's request that terminates each server that begins to run
@@ -35,10 +35,7 @@
   afterEach(() => system.stop());
 
   /** Creates a script that terminates the server, with its entry, on the request. */
-  function createTerminatingScript(
-    server: StandInServer,
-    index: number,
-  ): Script {
+  function createTerminatingScript(server: FakeServer, index: number): Script {
     const answer = answerWith('whole');
     return (socket, request) => {
       if (request.body !== BODY) {
@@ -145,10 +142,7 @@
   afterEach(() => system.stop());
 
   /** Creates a script that terminates the server and starts it later under a new id. */
-  function createTerminatingScript(
-    server: StandInServer,
-    index: number,
-  ): Script {
+  function createTerminatingScript(server: FakeServer, index: number): Script {
     const answer = answerWith('whole');
     let restarts = 0;
     return (socket, request) => {
@@ -226,7 +220,7 @@
 
   /** Marks the server that runs a request as draining, and terminates it later. */
   async function reclaim(): Promise<void> {
-    const runs = ({requests}: StandInServer) => requests.length > 0;
+    const runs = ({requests}: FakeServer) => requests.length > 0;
     await system.waitFor(() => system.servers.some(runs));
     const index = system.servers.findIndex(runs);
     const server = system.servers[index];
--- a/test/platform/exchange_fixture.ts
+++ b/test/platform/exchange_fixture.ts
@@ -1,13 +1,13 @@
 import {FleetState} from '../../src/fleet/index.js';
-import {ExchangeOrder} from '../../src/relay/index.js';
+import {ExchangeParams} from '../../src/relay/index.js';
 import {createRoute} from '../relay/route_fixture.js';
 
 /** Creates the parameters for sending a small request to a fake server. */
 export function createExchangeParams(
   id: string,
   address: string,
-  overrides: Partial<ExchangeOrder['request']> = {},
-): ExchangeOrder {
+  overrides: Partial<ExchangeParams['request']> = {},
+): ExchangeParams {
   return {
     request: {
       id,
--- a/test/platform/stand_in/stand_in_server.ts
+++ b/test/platform/fakes/fake_server.ts
@@ -2,21 +2,21 @@
 import {AddressInfo} from 'node:net';
 
 /** A request as the fake server parsed it. */
-export interface SeenRequest {
+export interface ReceivedRequest {
   readonly line: string;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
 }
 
 /** Writes the raw bytes of the response to a request. */
-export type Script = (socket: Socket, request: SeenRequest) => void;
+export type Script = (socket: Socket, request: ReceivedRequest) => void;
 
 /**
  * A backend server whose responses are written as raw bytes, so that it can violate any
  * rule of the protocol.
  */
-export class StandInServer {
-  readonly requests: SeenRequest[] = [];
+export class FakeServer {
+  readonly requests: ReceivedRequest[] = [];
   readonly sockets = new Set<Socket>();
   connectionCount = 0;
   private readonly server: Server;
@@ -64,7 +64,7 @@
 
 function parse(
   bytes: Buffer,
-): {request: SeenRequest; length: number} | undefined {
+): {request: ReceivedRequest; length: number} | undefined {
   const end = bytes.indexOf('\r\n\r\n');
   if (end < 0) {
     return undefined;
@@ -88,7 +88,7 @@
 
 /** Formats the head of a valid response. */
 export function formatHead(
-  request: SeenRequest,
+  request: ReceivedRequest,
   status: number,
   extraHeaders: readonly string[] = [],
 ): string {
--- a/test/platform/stand_in/stand_in_store.ts
+++ b/test/platform/fakes/fake_store.ts
@@ -16,24 +16,24 @@
   /** Responds with status 503 to every call. */
   busy: boolean;
   /** Accepts calls and never responds. */
-  silent: boolean;
+  unresponsive: boolean;
   /** Executes writes and closes the connection without a response. */
-  loseWriteAnswers: boolean;
+  dropWriteResponses: boolean;
   /** Accepts watches and never responds, like an unresponsive connection. */
   unresponsiveWatches: boolean;
   /** Responds to watches only when their wait is over, as if nothing had changed. */
-  deafWatches: boolean;
+  staleWatches: boolean;
 }
 
 type Body = Readonly<Record<string, unknown>>;
 
 /** In-memory fake of the platform's store. */
-export class StandInStore {
+export class FakeStore {
   readonly faults: StoreFaults = {
     busy: false,
-    silent: false,
-    loseWriteAnswers: false,
-    deafWatches: false,
+    unresponsive: false,
+    dropWriteResponses: false,
+    staleWatches: false,
     unresponsiveWatches: false,
   };
   /** Method and path of each call received. */
@@ -99,7 +99,7 @@
 
   private set(row: StoreRow): void {
     this.rows.set(`${row.table}|${row.part}|${row.key}`, row);
-    if (!this.faults.deafWatches) {
+    if (!this.faults.staleWatches) {
       this.wake();
     }
   }
@@ -120,7 +120,7 @@
     }
     const url = new URL(request.url ?? '/', 'http://store');
     this.calls.push(`${request.method} ${url.pathname}`);
-    if (this.faults.silent) {
+    if (this.faults.unresponsive) {
       return;
     }
     if (this.faults.busy) {
@@ -165,7 +165,7 @@
         answer(response, 410, {});
         return;
       }
-      const changed = this.faults.deafWatches
+      const changed = this.faults.staleWatches
         ? []
         : this.list(query.get('table')).filter(row => row.row_version > after);
       const leftMs = endMs - performance.now();
@@ -207,7 +207,7 @@
     for (const row of body['removals'] as StoreRow[]) {
       this.set({...row, row_version, removed: true});
     }
-    if (this.faults.loseWriteAnswers) {
+    if (this.faults.dropWriteResponses) {
       response.destroy();
       return;
     }
--- a/test/platform/stand_in/stand_in_system.ts
+++ b/test/platform/fakes/test_system.ts
@@ -8,8 +8,8 @@
 import {createRelayHost} from '../../../platform/container.js';
 import {parsePlatformSettings} from '../../../platform/settings.js';
 import {SettingsSource} from '../../../platform/settings_source.js';
-import {answerWith, Script, StandInServer} from './stand_in_server.js';
-import {StandInStore} from './stand_in_store.js';
+import {answerWith, Script, FakeServer} from './fake_server.js';
+import {FakeStore} from './fake_store.js';
 
 /** A response as a caller received it. */
 export interface CallerView {
@@ -36,17 +36,17 @@
 }
 
 /** Creates the script of a server. */
-export type CreateScript = (server: StandInServer, index: number) => Script;
+export type CreateScript = (server: FakeServer, index: number) => Script;
 
 export const KEY = 'k1';
 const WAIT_STEP_MS = 10;
 
 /** A fake store, a fake cloud, two or more fake servers, and hosts, all on loopback. */
 export class TestSystem {
-  readonly store = new StandInStore();
+  readonly store = new FakeStore();
   readonly servers = [
-    new StandInServer(answerWith('whole')),
-    new StandInServer(answerWith('whole')),
+    new FakeServer(answerWith('whole')),
+    new FakeServer(answerWith('whole')),
   ];
   /** Address of each server. */
   readonly addresses: string[] = [];
@@ -209,7 +209,7 @@
   /** Adds servers up to a number in total, and sets the script of each. */
   addServers(count: number, createScript: CreateScript): void {
     while (this.servers.length < count) {
-      this.servers.push(new StandInServer(answerWith('whole')));
+      this.servers.push(new FakeServer(answerWith('whole')));
     }
     for (const [index, server] of this.servers.entries()) {
       server.script = createScript(server, index);
--- a/test/platform/leaving_servers_property_test.ts
+++ b/test/platform/leaving_servers_property_test.ts
@@ -14,7 +14,7 @@
 import {StoreFeed} from '../../platform/store_feed.js';
 import {StoreAvailability} from '../../platform/store_availability.js';
 import {HostsFixture} from '../peering/hosts_fixture.js';
-import {TABLE, WordsHost} from '../peering/words_fixture.js';
+import {TABLE, PeerHost} from '../peering/peer_host.js';
 
 /**
  * Seeds 2 and 4 cover hosts that keep a removed server indefinitely; seeds from 6 on
@@ -168,7 +168,7 @@
   }
 
   /** Picks a random host or, half of the time, the aggregator of its data centre. */
-  private pickHost(): WordsHost {
+  private pickHost(): PeerHost {
     const {hosts} = this.fixture;
     const index = Math.floor(this.randomBelow(HOST_COUNT));
     const host = hosts[index];
@@ -181,7 +181,7 @@
     return this.randomBelow(1) < 0.5 ? (aggregator ?? host) : host;
   }
 
-  private restart(host: WordsHost): void {
+  private restart(host: PeerHost): void {
     const index = this.fixture.hosts.indexOf(host);
     const {host: name} = host.self;
     this.stops.get(name)?.abort();
@@ -192,7 +192,7 @@
 
   private async applyFault(
     affected: Set<string>,
-    {self: {host}}: WordsHost,
+    {self: {host}}: PeerHost,
     durationMs: number,
   ): Promise<void> {
     if (affected.has(host)) {
@@ -230,7 +230,7 @@
     }
   }
 
-  private startFeed(host: WordsHost): void {
+  private startFeed(host: PeerHost): void {
     const {clock, table} = this;
     const {known, readAge, replica, self} = host;
     const name = self.host;
@@ -243,7 +243,7 @@
       known,
       readAge,
       knowsOthers: () => true,
-      getNewsMs: () => MAX_PROPAGATION_MS,
+      getPropagationMs: () => MAX_PROPAGATION_MS,
     });
     const availability = new StoreAvailability(clock);
     const call = async (
@@ -283,7 +283,7 @@
       random,
       countReaders: () => reading.countReaders(),
       getMaxWaitMs: () => reading.getMaxWaitMs(),
-      canSkip: () => reading.rests(TABLE),
+      canSkipRead: () => reading.canSkip(TABLE),
       onResponse: () => reading.addResponse(TABLE),
       onRead: asOfMs => readAge.addRead(TABLE, asOfMs),
     });
--- a/test/platform/limited_server_test.ts
+++ b/test/platform/limited_server_test.ts
@@ -1,10 +1,6 @@
 import {expect} from 'chai';
-import {answerWith, Script} from './stand_in/stand_in_server.js';
-import {
-  CallerView,
-  RunningHost,
-  TestSystem,
-} from './stand_in/stand_in_system.js';
+import {answerWith, Script} from './fakes/fake_server.js';
+import {CallerView, RunningHost, TestSystem} from './fakes/test_system.js';
 
 /** Requests per second that each limited server accepts from all hosts together. */
 const LIMIT_PER_S = 2.6;
--- a/test/platform/relay_host_test.ts
+++ b/test/platform/relay_host_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
-import {formatHead} from './stand_in/stand_in_server.js';
-import {RunningHost, TestSystem} from './stand_in/stand_in_system.js';
+import {formatHead} from './fakes/fake_server.js';
+import {RunningHost, TestSystem} from './fakes/test_system.js';
 
 describe('a host on the fake platform', () => {
   let system: TestSystem;
@@ -78,7 +78,7 @@
     it('is received from a peer if the store does not report it', async () => {
       const second = await system.startHost('front-2');
       await system.waitFor(() => system.isReady(second));
-      system.store.faults.deafWatches = true;
+      system.store.faults.staleWatches = true;
       system.putConfig({routes: [system.createRoute('/b/', {})]});
       system.store.dropHistory();
       await system.waitFor(
--- a/test/platform/rollout_test.ts
+++ b/test/platform/rollout_test.ts
@@ -1,8 +1,8 @@
 /** Moves a service to another version on running hosts, with a fake store and fake servers. */
 import {expect} from 'chai';
 import {decodeRolloutOrder} from '../../platform/rollout_record.js';
-import {answerWith, StandInServer} from './stand_in/stand_in_server.js';
-import {RunningHost, TestSystem} from './stand_in/stand_in_system.js';
+import {answerWith, FakeServer} from './fakes/fake_server.js';
+import {RunningHost, TestSystem} from './fakes/test_system.js';
 
 const SERVICE = 'ledger';
 const STATUS_KEY = `rollout/${SERVICE}`;
@@ -13,7 +13,7 @@
   const PAUSE_MS = 4;
   let system: TestSystem;
   let hosts: RunningHost[];
-  let added: StandInServer[];
+  let added: FakeServer[];
   let isOver: boolean;
 
   beforeEach(async () => {
@@ -27,7 +27,7 @@
     for (const host of hosts) {
       await system.waitFor(() => system.isReady(host));
     }
-    added = [0, 1].map(() => new StandInServer(answerWith('new')));
+    added = [0, 1].map(() => new FakeServer(answerWith('new')));
   });
 
   afterEach(async () => {
--- a/test/platform/server_exchange_property_test.ts
+++ b/test/platform/server_exchange_property_test.ts
@@ -4,7 +4,7 @@
 import {ExchangeKind} from '../../src/relay/index.js';
 import {ServerExchange} from '../../platform/server_exchange.js';
 import {createExchangeParams} from './exchange_fixture.js';
-import {answerWith, Script, StandInServer} from './stand_in/stand_in_server.js';
+import {answerWith, Script, FakeServer} from './fakes/fake_server.js';
 
 const SEED = 20261202;
 const RUNS = 150;
@@ -69,13 +69,13 @@
 });
 
 describe('ServerExchange, with generated responses', () => {
-  let server: StandInServer;
+  let server: FakeServer;
   let address: string;
   let exchange: ServerExchange;
   let count = 0;
 
   beforeEach(async () => {
-    server = new StandInServer(answerWith('whole'));
+    server = new FakeServer(answerWith('whole'));
     address = await server.listen();
     exchange = new ServerExchange(RESPONSE_TIMEOUT_MS);
   });
--- a/test/platform/server_exchange_test.ts
+++ b/test/platform/server_exchange_test.ts
@@ -10,17 +10,17 @@
   answerWith,
   formatHead,
   Script,
-  StandInServer,
-} from './stand_in/stand_in_server.js';
+  FakeServer,
+} from './fakes/fake_server.js';
 
 describe('ServerExchange', () => {
-  let server: StandInServer;
+  let server: FakeServer;
   let address: string;
   let exchange: ServerExchange;
   let sent = 0;
 
   beforeEach(async () => {
-    server = new StandInServer(answerWith('whole'));
+    server = new FakeServer(answerWith('whole'));
     address = await server.listen();
     exchange = new ServerExchange();
   });
@@ -309,7 +309,7 @@
     });
   });
 
-  describe('forget', () => {
+  describe('reset', () => {
     it('does not cut off a response in progress', async () => {
       server.script = (socket, request) => {
         socket.write(`${formatHead(request, 200, ['Content-Length: 6'])}abc`);
--- a/test/platform/store_feed_test.ts
+++ b/test/platform/store_feed_test.ts
@@ -5,11 +5,11 @@
 import {SystemClock} from '../../src/time/index.js';
 import {StoreClient} from '../../platform/store_client.js';
 import {StoreFeed} from '../../platform/store_feed.js';
-import {StandInStore} from './stand_in/stand_in_store.js';
+import {FakeStore} from './fakes/fake_store.js';
 
 describe('StoreFeed', () => {
   const clock = new SystemClock();
-  let store: StandInStore;
+  let store: FakeStore;
   let address: string;
   let replica: RowReplica;
   let stopped: AbortController;
@@ -19,10 +19,10 @@
   beforeEach(async () => {
     canSkip = false;
     reads = 0;
-    store = new StandInStore();
+    store = new FakeStore();
     address = await store.listen();
     stopped = new AbortController();
-    replica = new RowReplica({getSubstance: text => text});
+    replica = new RowReplica({getSignificantContent: text => text});
     startFeed(replica, () => reads++);
   });
 
@@ -42,7 +42,7 @@
       random: new SeededRandom(1),
       countReaders: () => 8,
       getMaxWaitMs: () => 1500,
-      canSkip: () => canSkip,
+      canSkipRead: () => canSkip,
       onResponse: () => undefined,
       onRead,
     });
@@ -94,7 +94,7 @@
   it('marks a removal in doubt that it cannot confirm yet, so that peers are asked', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
-    const known = replica.getNewsVersion();
+    const known = replica.getVersion();
     store.faults.busy = true;
     const calls = store.calls.length;
     await waitFor(() => store.calls.length > calls + 1);
@@ -103,14 +103,14 @@
     store.put('servers', 'b', {state: 'ready'});
     await waitFor(() => replica.getText('b') !== undefined);
     expect(replica.getText('a')).not.to.equal(undefined);
-    expect(replica.getNewsVersion()).to.equal(known);
+    expect(replica.getVersion()).to.equal(known);
   });
 
   it('removes a row reported by a peer that the table lacks, before it reports a reading', async () => {
     stopped.abort();
     stopped = new AbortController();
     store.put('servers', 'b', {state: 'ready'});
-    const reported = new RowReplica({getSubstance: text => text});
+    const reported = new RowReplica({getSignificantContent: text => text});
     reported.addSnapshot([{key: 'a', version: 1, text: 'left'}], 1, 'peer');
     const heldWhenRead: boolean[] = [];
     startFeed(reported, () =>
@@ -126,7 +126,7 @@
   it('reads the whole table again if the history is no longer kept', async () => {
     store.put('servers', 'a', {state: 'ready'});
     await waitFor(() => replica.getText('a') !== undefined);
-    store.faults.deafWatches = true;
+    store.faults.staleWatches = true;
     store.put('servers', 'b', {state: 'ready'});
     store.dropHistory();
     await waitFor(() => replica.getText('b') !== undefined);
--- a/test/buying/plan_fleet_test.ts
+++ b/test/provisioning/plan_fleet_test.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {CentreServers, planFleet} from '../../src/buying/index.js';
+import {CentreServers, planFleet} from '../../src/provisioning/index.js';
 
 describe('planFleet', () => {
   const prices = new Map([
--- a/test/buying/decide_buying_test.ts
+++ b/test/provisioning/plan_host_orders_test.ts
@@ -1,7 +1,11 @@
 import {expect} from 'chai';
-import {decideBuying, Offer, StartBackoff} from '../../src/buying/index.js';
+import {
+  planHostOrders,
+  Offer,
+  StartBackoff,
+} from '../../src/provisioning/index.js';
 
-describe('decideBuying', () => {
+describe('planHostOrders', () => {
   function offer(centre: number, change: Partial<Offer> = {}): Offer {
     return {
       zone: `zone-${centre}`,
@@ -20,7 +24,7 @@
 
   it('spreads reclaimable hosts so that the floor holds without any one data centre', () => {
     const offers = [0, 1, 2, 3].map(centre => offer(centre));
-    const ordered = decideBuying(demand, offers, [], 0);
+    const ordered = planHostOrders(demand, offers, [], 0);
     for (const {dataCentre} of offers) {
       const left = ordered.filter(item => item.dataCentre !== dataCentre);
       expect(left.length * 16).to.be.at.least(96);
@@ -29,7 +33,7 @@
   });
 
   it('orders on-demand hosts only if reclaimable ones cannot hold the floor', () => {
-    const ordered = decideBuying(demand, [offer(0)], [], 0);
+    const ordered = planHostOrders(demand, [offer(0)], [], 0);
     const onDemand = ordered.filter(item => !item.reclaimable);
     expect(onDemand.length * 16).to.be.at.least(96);
     expect(onDemand[0]?.reason).to.equal('floor-for-lost-data-centre');
@@ -37,18 +41,20 @@
 
   it('skips a kind of host whose start was refused, and no other', () => {
     const offers = [offer(0, {refusedUntilMs: 1000}), offer(1), offer(2)];
-    const zones = decideBuying(demand, offers, [], 500).map(item => item.zone);
+    const zones = planHostOrders(demand, offers, [], 500).map(
+      item => item.zone,
+    );
     expect(zones).to.not.include('zone-0');
     expect(zones).to.include('zone-1');
   });
 
   it('includes hosts that already run, so that none is ordered twice', () => {
     const offers = [0, 1, 2, 3].map(centre => offer(centre));
-    const held = decideBuying(demand, offers, [], 0).map(item => ({
+    const held = planHostOrders(demand, offers, [], 0).map(item => ({
       ...item,
       count: 1,
     }));
-    expect(decideBuying(demand, offers, held, 0)).to.eql([]);
+    expect(planHostOrders(demand, offers, held, 0)).to.eql([]);
   });
 
   it('includes the cost of reclaims in the price', () => {
@@ -56,7 +62,12 @@
       reclaimablePrice: 0.2,
       reclaimsPerHour: 5,
     });
-    const [first] = decideBuying(demand, [cheapButReclaimed, offer(1)], [], 0);
+    const [first] = planHostOrders(
+      demand,
+      [cheapButReclaimed, offer(1)],
+      [],
+      0,
+    );
     expect(first?.zone).to.equal('zone-1');
   });
 });
--- a/test/buying/buyer_test.ts
+++ b/test/provisioning/provisioner_test.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {
-  Buyer,
+  Provisioner,
   OrderOutcome,
   ServerOrder,
   ServiceWork,
-} from '../../src/buying/index.js';
+} from '../../src/provisioning/index.js';
 import {CatalogStore} from '../../src/catalog/index.js';
 import {Fleet, FleetState} from '../../src/fleet/index.js';
 import {Duty, Lease} from '../../src/lease/index.js';
@@ -16,7 +16,7 @@
 const LEASE_MS = 3000;
 const CENTRES = ['a', 'b', 'c', 'd'];
 
-describe('Buyer', () => {
+describe('Provisioner', () => {
   const log = new SilentLog();
   let clock: VirtualClock;
   let fleet: Fleet;
@@ -46,7 +46,7 @@
   function addServers(dataCentre: string, count: number, reclaimable: boolean) {
     for (let index = 0; index < count; index++) {
       const id = `${dataCentre}-${index}-${reclaimable}`;
-      fleet.set(
+      fleet.register(
         {
           id,
           name: id,
@@ -107,7 +107,7 @@
       quietMs: LEASE_MS,
       competes: () => true,
     });
-    const buyer = new Buyer({
+    const buyer = new Provisioner({
       clock,
       log,
       duty,
--- a/test/quarantine/quarantine_rows_test.ts
+++ b/test/quarantine/quarantine_rows_test.ts
@@ -30,14 +30,14 @@
       log,
       table,
       quarantine,
-      hearsOthers: () => state.reachesOthers,
+      reachesOthers: () => state.reachesOthers,
     });
     return {quarantine, rows, state};
   }
 
   function terminateInTurn(quarantine: Quarantine, ...servers: string[]): void {
     for (const server of servers) {
-      quarantine.addEnd(CONTENT, server, quarantine.getLevel(CONTENT));
+      quarantine.addTermination(CONTENT, server, quarantine.getLevel(CONTENT));
     }
   }
 
@@ -51,7 +51,7 @@
     await first.rows.step();
     const second = createHost();
     await second.rows.step();
-    expect(second.quarantine.getHeldMs(CONTENT)).to.be.greaterThan(0);
+    expect(second.quarantine.getRemainingBlockMs(CONTENT)).to.be.greaterThan(0);
   });
 
   it('writes no rows for a request that is not blocked', async () => {
@@ -72,7 +72,7 @@
     await first.rows.step();
     await second.rows.step();
     for (const {quarantine} of [first, second]) {
-      expect(quarantine.getHeldMs(CONTENT)).to.be.greaterThan(0);
+      expect(quarantine.getRemainingBlockMs(CONTENT)).to.be.greaterThan(0);
     }
   });
 
@@ -88,7 +88,7 @@
     first.state.reachesOthers = true;
     await clock.advance(1000);
     await first.rows.step();
-    expect(first.quarantine.getHeldMs(CONTENT)).to.be.greaterThan(0);
+    expect(first.quarantine.getRemainingBlockMs(CONTENT)).to.be.greaterThan(0);
   });
 
   it('removes rows that an answer has cleared', async () => {
--- a/test/quarantine/quarantine_test.ts
+++ b/test/quarantine/quarantine_test.ts
@@ -27,12 +27,12 @@
   /** Runs the content at servers, one after the other, that all terminate. */
   function terminateInTurn(...servers: readonly string[]): void {
     for (const server of servers) {
-      quarantine.addEnd(CONTENT, server, quarantine.getLevel(CONTENT));
+      quarantine.addTermination(CONTENT, server, quarantine.getLevel(CONTENT));
     }
   }
 
   function isBlocked(target = quarantine): boolean {
-    return target.getHeldMs(CONTENT) > 0;
+    return target.getRemainingBlockMs(CONTENT) > 0;
   }
 
   describe('a request under which servers terminate', () => {
@@ -40,14 +40,14 @@
       terminateInTurn('s1', 's2');
       expect(isBlocked()).to.equal(false);
       terminateInTurn('s3');
-      expect(quarantine.getHeldMs(CONTENT)).to.equal(TEN_MINUTES_MS);
+      expect(quarantine.getRemainingBlockMs(CONTENT)).to.equal(TEN_MINUTES_MS);
       await clock.advance(TEN_MINUTES_MS);
       expect(isBlocked()).to.equal(false);
     });
 
     it('is blocked though most of its runs began concurrently', () => {
       for (const server of ['s1', 's2', 's3']) {
-        quarantine.addEnd(CONTENT, server, 0);
+        quarantine.addTermination(CONTENT, server, 0);
       }
       expect(isBlocked()).to.equal(false);
       terminateInTurn('s4');
@@ -61,14 +61,14 @@
 
     it('does not affect other requests', () => {
       terminateInTurn('s1', 's2', 's3');
-      expect(quarantine.getHeldMs('c2')).to.equal(0);
+      expect(quarantine.getRemainingBlockMs('c2')).to.equal(0);
     });
   });
 
   describe('a frequent request on servers that fail together', () => {
     it('is not blocked, and is cleared by its next answer', () => {
       for (const server of ['s1', 's2', 's3', 's4']) {
-        quarantine.addEnd(CONTENT, server, 0);
+        quarantine.addTermination(CONTENT, server, 0);
       }
       quarantine.addSuccess(CONTENT, quarantine.getLevel(CONTENT));
       terminateInTurn('s5', 's6');
@@ -89,10 +89,10 @@
     it('is merged with others, in any order and more than once', () => {
       const second = create();
       const third = create();
-      quarantine.addEnd(CONTENT, 's1', 0);
+      quarantine.addTermination(CONTENT, 's1', 0);
       second.merge(quarantine.listSince(0).suspects);
-      second.addEnd(CONTENT, 's2', second.getLevel(CONTENT));
-      third.addEnd(CONTENT, 's3', 0);
+      second.addTermination(CONTENT, 's2', second.getLevel(CONTENT));
+      third.addTermination(CONTENT, 's3', 0);
       for (const from of [second, quarantine, third, second]) {
         for (const to of [third, quarantine, second]) {
           to.merge(from.listSince(0).suspects);
@@ -109,7 +109,7 @@
       terminateInTurn('s1');
       const {version} = quarantine.listSince(0);
       expect(quarantine.listSince(version).suspects).to.deep.equal([]);
-      quarantine.addEnd('c2', 's1', 0);
+      quarantine.addTermination('c2', 's1', 0);
       const contents = quarantine
         .listSince(version)
         .suspects.map(({content}) => content);
@@ -127,7 +127,7 @@
 
     it('is split into pages if there are many suspects', () => {
       for (let index = 0; index < 450; index++) {
-        quarantine.addEnd(`c${index}`, 's1', 0);
+        quarantine.addTermination(`c${index}`, 's1', 0);
       }
       const second = create();
       let heard = 0;
@@ -165,7 +165,7 @@
       terminateInTurn('s1', 's2', 's3');
       await clock.advance(TEN_MINUTES_MS / 2);
       second.merge(quarantine.listSince(0).suspects);
-      expect(second.getHeldMs(CONTENT)).to.equal(TEN_MINUTES_MS / 2);
+      expect(second.getRemainingBlockMs(CONTENT)).to.equal(TEN_MINUTES_MS / 2);
       await clock.advance(TEN_MINUTES_MS / 2);
       const third = create();
       third.merge(second.listSince(0).suspects);
@@ -177,7 +177,7 @@
     it('evict the oldest, but none that is blocked', () => {
       terminateInTurn('s1', 's2', 's3');
       for (let index = 0; index < 5000; index++) {
-        quarantine.addEnd(`other${index}`, 's1', 0);
+        quarantine.addTermination(`other${index}`, 's1', 0);
       }
       expect(isBlocked()).to.equal(true);
       expect(quarantine.getLevel('other0')).to.equal(0);
--- a/test/quarantine/ended_servers_test.ts
+++ b/test/quarantine/terminated_servers_test.ts
@@ -1,13 +1,13 @@
 import {expect} from 'chai';
-import {EndedServers} from '../../src/quarantine/index.js';
+import {TerminatedServers} from '../../src/quarantine/index.js';
 import {VirtualClock} from '../../src/time/index.js';
 
 const ADDRESS = '10.0.0.1:80';
 
-describe('EndedServers', () => {
+describe('TerminatedServers', () => {
   it('checks once for all requests that were lost together', async () => {
     let checks = 0;
-    const servers = new EndedServers(new VirtualClock(), async () => {
+    const servers = new TerminatedServers(new VirtualClock(), async () => {
       checks++;
       return true;
     });
@@ -21,7 +21,7 @@
   it('checks again later, since a server may restart or terminate', async () => {
     const clock = new VirtualClock();
     let ended = false;
-    const servers = new EndedServers(clock, async () => ended);
+    const servers = new TerminatedServers(clock, async () => ended);
     expect(await servers.hasTerminated(ADDRESS)).to.equal(false);
     ended = true;
     expect(await servers.hasTerminated(ADDRESS)).to.equal(true);
--- a/test/quarantine/servers_that_end.ts
+++ b/test/quarantine/terminating_servers.ts
@@ -1,4 +1,4 @@
-import {Reach, ServerFailure} from '../../src/backend/index.js';
+import {DeliveryState, ServerFailure} from '../../src/backend/index.js';
 import {
   ConfigurationStore,
   RecordKind,
@@ -6,14 +6,14 @@
 } from '../../src/configuration/index.js';
 import {SilentLog} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
-import {EndedServers, Quarantine} from '../../src/quarantine/index.js';
+import {TerminatedServers, Quarantine} from '../../src/quarantine/index.js';
 import {VirtualClock} from '../../src/time/index.js';
 
 export const DEPLOYMENT = 'dossier';
 const SERVER_COUNT = 10;
 
 /** Servers of one deployment; a test decides which request terminates them. */
-export class ServersThatEnd {
+export class TerminatingServers {
   readonly clock = new VirtualClock();
   readonly log = new SilentLog();
   readonly configuration = new ConfigurationStore(this.log);
@@ -22,8 +22,9 @@
     log: this.log,
     metrics: new Metrics(),
   });
-  readonly endedServers = new EndedServers(this.clock, async address =>
-    this.down.has(address),
+  readonly terminatedServers = new TerminatedServers(
+    this.clock,
+    async address => this.down.has(address),
   );
   /** Names of the terminated servers, in order; a name may occur more than once. */
   readonly ends: string[] = [];
@@ -65,9 +66,9 @@
    * Terminates a server that runs a request, without a restart.
    * @returns The failure that the caller of the server receives.
    */
-  end(name: string, address: string): ServerFailure {
+  terminate(name: string, address: string): ServerFailure {
     this.ends.push(name);
     this.down.add(address);
-    return new ServerFailure(Reach.SENT, 'the channel ended');
+    return new ServerFailure(DeliveryState.SENT, 'the channel ended');
   }
 }
--- a/test/quarantine/unaffected_requests_test.ts
+++ b/test/quarantine/unaffected_requests_test.ts
@@ -6,7 +6,7 @@
 import {SilentLog} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
 import {
-  EndedServers,
+  TerminatedServers,
   Quarantine,
   SenderRuns,
   WatchedContent,
@@ -43,9 +43,9 @@
       metrics: new Metrics(),
     });
     // Every server that loses a run has terminated.
-    const endedServers = new EndedServers(clock, async () => true);
+    const terminatedServers = new TerminatedServers(clock, async () => true);
     const senderRuns = new SenderRuns(clock);
-    const options = {quarantine, endedServers, senderRuns};
+    const options = {quarantine, terminatedServers, senderRuns};
     runs = Array.from({length: REQUEST_COUNT}, (_unused, at) => {
       const caller = `customer-${at % CUSTOMER_COUNT}`;
       const body = Buffer.from(`request ${at}`);
@@ -77,7 +77,7 @@
     const recorded = lost.map(({content, server}) =>
       content.addLoss({
         name: `s${server}`,
-        start: `s${server}@${incarnations[server]}`,
+        incarnation: `s${server}@${incarnations[server]}`,
         address: `10.0.0.${server}:1`,
         wasLeaving,
       }),
@@ -95,7 +95,8 @@
 
   function countBlocked(): number {
     return runs.filter(
-      ({content}) => content.getHeldMs() + content.getSenderHeldMs() > 0,
+      ({content}) =>
+        content.getRemainingBlockMs() + content.getSenderRemainingBlockMs() > 0,
     ).length;
   }
 
--- a/test/quota/quota_test.ts
+++ b/test/quota/quota_test.ts
@@ -44,9 +44,9 @@
           .filter(demand => demand.customer === customer)
           .reduce((sum, {perSecond}) => sum + perSecond, 0);
       },
-      countTold: () => this.listReporting(index).length,
+      countReportingHosts: () => this.listReporting(index).length,
       countHosts: () => this.counts[index] ?? count,
-      countHeard: () => this.countReachable(index, count),
+      countReachableHosts: () => this.countReachable(index, count),
       getBound: () => BOUND,
     });
     this.incarnations[index] = (this.incarnations[index] ?? 0) + 1;
--- a/test/relay/limited_servers_test.ts
+++ b/test/relay/limited_servers_test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {Maybe, Result} from 'true-myth';
 import {Repeat} from '../../src/catalog/index.js';
-import {Ran} from '../../src/errors/index.js';
+import {ExecutionStatus} from '../../src/errors/index.js';
 import {Exchange} from '../../src/relay/index.js';
 import {
   answer,
@@ -39,7 +39,7 @@
 
   it('is not affected by limits of servers of another service', async () => {
     const fixture = createFixture(answer, 's1', 'x1');
-    fixture.fleet.set({...createServer('x1'), service: 'other'}, 'test');
+    fixture.fleet.register({...createServer('x1'), service: 'other'}, 'test');
     await fixture.serve(route);
     expect(['s2', 's3']).to.include(fixture.listServers()[0]);
   });
@@ -56,7 +56,7 @@
     expect(fixture.sent).to.deep.equal([]);
     expect(problem?.kind).to.equal('service-limited');
     expect(problem?.status).to.equal(503);
-    expect(problem?.ran).to.equal(Ran.NO);
+    expect(problem?.ran).to.equal(ExecutionStatus.NOT_EXECUTED);
     expect(problem?.retryAfterSeconds).to.be.within(0.01, 13);
   });
 
--- a/test/relay/relay_fixture.ts
+++ b/test/relay/relay_fixture.ts
@@ -6,7 +6,7 @@
 import {SilentLog} from '../../src/log/index.js';
 import {Metrics} from '../../src/metrics/index.js';
 import {
-  EndedServers,
+  TerminatedServers,
   Quarantine,
   SenderRuns,
 } from '../../src/quarantine/index.js';
@@ -15,17 +15,17 @@
 import {
   AnswerSink,
   CopyFailure,
-  CopyOrder,
+  CopyRunParams,
   Exchange,
   ExchangeKind,
-  ExchangeOrder,
+  ExchangeParams,
   ExchangeResult,
   Relay,
   RelayRequest,
 } from '../../src/relay/index.js';
 import {SharedRetryBudget} from '../../src/routing/index.js';
 import {SystemClock} from '../../src/time/index.js';
-import {VersionLedger} from '../../src/rollout/index.js';
+import {VersionCounter} from '../../src/rollout/index.js';
 import {UsageLedger} from '../../src/usage/index.js';
 import {createRoute} from './route_fixture.js';
 
@@ -49,7 +49,7 @@
     this.ended = true;
   }
 
-  breakOff(): void {
+  disconnect(): void {
     this.aborted = true;
   }
 
@@ -106,14 +106,14 @@
   readonly metrics = new Metrics();
   readonly limits: ServerLimits;
   readonly relay: Relay;
-  readonly sent: ExchangeOrder[] = [];
-  readonly copies: CopyOrder[] = [];
+  readonly sent: ExchangeParams[] = [];
+  readonly copies: CopyRunParams[] = [];
   budget = 100;
   /** Ids of servers that have terminated. */
   readonly terminated = new Set<string>();
   copyResult: Result<string, CopyFailure> = Result.ok('h1');
   /** Called for each requested copy, before its result is returned. */
-  onCopy: (params: CopyOrder) => void = () => undefined;
+  onCopy: (params: CopyRunParams) => void = () => undefined;
 
   constructor(exchange: Exchange) {
     const log = new SilentLog();
@@ -133,8 +133,8 @@
       clock,
       log,
       metrics,
-      getTrueMs: () => clock.now().getTime(),
-      getTurn: () => ({hosts: 1, place: 0}),
+      getReferenceMs: () => clock.now().getTime(),
+      getHostPosition: () => ({hosts: 1, place: 0}),
       isKnownServer: server => this.fleet.get(server) !== undefined,
     });
     this.relay = new Relay({
@@ -147,9 +147,9 @@
       quota: new Quota({
         clock,
         sumPeerDemand: () => 0,
-        countTold: () => 0,
+        countReportingHosts: () => 0,
         countHosts: () => 1,
-        countHeard: () => 1,
+        countReachableHosts: () => 1,
         getBound: () => ({windowMs: 8000, overage: 0, slack: 0}),
       }),
       limits: this.limits,
@@ -170,15 +170,15 @@
         this.onCopy(params);
         return this.copyResult;
       },
-      endedServers: new EndedServers(clock, async address =>
+      terminatedServers: new TerminatedServers(clock, async address =>
         this.terminated.has(address.split(':')[0] ?? ''),
       ),
       senderRuns: new SenderRuns(clock),
-      versionSelector: {draw: () => undefined},
-      versionLedger: new VersionLedger(),
+      versionSelector: {select: () => undefined},
+      versionLedger: new VersionCounter(),
     });
     for (const id of ['s1', 's2', 's3']) {
-      this.fleet.set(createServer(id), 'test');
+      this.fleet.register(createServer(id), 'test');
     }
   }
 
--- a/test/relay/relay_test.ts
+++ b/test/relay/relay_test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {Repeat} from '../../src/catalog/index.js';
-import {Ran} from '../../src/errors/index.js';
-import {createStartId, FleetState} from '../../src/fleet/index.js';
+import {ExecutionStatus} from '../../src/errors/index.js';
+import {createIncarnationId, FleetState} from '../../src/fleet/index.js';
 import {Exchange, ExchangeKind} from '../../src/relay/index.js';
 import {
   answer,
@@ -49,7 +49,7 @@
     it('are counted by the version of their server and their end', async () => {
       const fixture = new RelayFixture(answerInTurn(answer, fail));
       for (const id of ['s1', 's2', 's3']) {
-        fixture.fleet.set({...createServer(id), version: 'v2'}, 'test');
+        fixture.fleet.register({...createServer(id), version: 'v2'}, 'test');
       }
       await fixture.serve({});
       await fixture.serve({});
@@ -96,7 +96,7 @@
         return exchange(params, signal);
       });
       for (const id of SERVERS) {
-        fixture.fleet.set(createServer(id), 'test');
+        fixture.fleet.register(createServer(id), 'test');
       }
       return fixture;
     }
@@ -115,7 +115,7 @@
       const sink = await fixture.serve(route);
       expect(fixture.sent).to.have.length(before);
       expect(sink.problem?.kind).to.equal('quarantined');
-      expect(sink.problem?.ran).to.equal(Ran.NO);
+      expect(sink.problem?.ran).to.equal(ExecutionStatus.NOT_EXECUTED);
       expect(sink.problem?.retryAfterSeconds).to.be.within(599, 600);
     });
 
@@ -129,7 +129,7 @@
       const corrupt: Exchange = async () => ({
         kind: ExchangeKind.LOST,
         detail: 'answer of another request',
-        spoiled: true,
+        corrupted: true,
       });
       const fixture = createFixture(corrupt, true);
       await serveOften(fixture);
@@ -161,7 +161,7 @@
 
     function saturate(fixture: RelayFixture): void {
       for (const server of ['s1', 's2', 's3']) {
-        fixture.fleet.startFlight(server, prompt(90_000).parts, 0, 1);
+        fixture.fleet.trackRequest(server, prompt(90_000).parts, 0, 1);
       }
     }
 
@@ -172,7 +172,7 @@
       const sink = await fixture.serve(route, 2000, undefined, prompt(100));
       expect(fixture.sent).to.have.length(0);
       expect(sink.problem?.status).to.equal(503);
-      expect(sink.problem?.ran).to.equal(Ran.NO);
+      expect(sink.problem?.ran).to.equal(ExecutionStatus.NOT_EXECUTED);
       expect(sink.problem?.retryAfterSeconds).to.be.within(0.6, 1.2);
     });
 
@@ -227,8 +227,8 @@
     function restart(fixture: RelayFixture): void {
       const before = fixture.sent[0]?.server.name ?? '';
       const server = createServer(before);
-      const id = createStartId(before, 7);
-      fixture.fleet.set({...server, id, startedMs: 7}, 'test');
+      const id = createIncarnationId(before, 7);
+      fixture.fleet.register({...server, id, startedMs: 7}, 'test');
     }
 
     it('loses a request that may run once, which is not sent again', async () => {
@@ -238,7 +238,7 @@
       restart(fixture);
       const sink = await served;
       expect(sink.problem?.status).to.equal(502);
-      expect(sink.problem?.ran).to.equal(Ran.UNKNOWN);
+      expect(sink.problem?.ran).to.equal(ExecutionStatus.UNKNOWN);
       expect(fixture.sent).to.have.length(1);
     });
 
@@ -258,7 +258,7 @@
       const sink = await fixture.serve({repeat: Repeat.ONCE});
       expect(fixture.sent).to.have.length(1);
       expect(sink.problem?.status).to.equal(502);
-      expect(sink.problem?.ran).to.equal(Ran.UNKNOWN);
+      expect(sink.problem?.ran).to.equal(ExecutionStatus.UNKNOWN);
     });
 
     it('is sent to another server if one reports that it did not run', async () => {
@@ -272,7 +272,7 @@
       const fixture = new RelayFixture(refuse);
       const sink = await fixture.serve({repeat: Repeat.ONCE});
       expect(sink.problem?.status).to.equal(503);
-      expect(sink.problem?.ran).to.equal(Ran.NO);
+      expect(sink.problem?.ran).to.equal(ExecutionStatus.NOT_EXECUTED);
       expect(sink.problem?.retryAfterSeconds).to.be.greaterThan(0);
     });
 
@@ -401,7 +401,7 @@
           yield* formatEvents(1, 2);
           const fixture = getFixture();
           const leaving = createServer(params.server.id, FleetState.DRAINING);
-          fixture.fleet.set({...leaving, leavesMs: 1000}, 'test');
+          fixture.fleet.register({...leaving, leavesMs: 1000}, 'test');
           while (fixture.copies.every(copy => !copy.stops)) {
             await new Promise(resolve => setImmediate(resolve));
           }
@@ -442,7 +442,10 @@
       );
       fixture.onCopy = ({to}) => {
         if (fixture.copies.length === 1) {
-          fixture.fleet.set(createServer(to.id, FleetState.DRAINING), 'test');
+          fixture.fleet.register(
+            createServer(to.id, FleetState.DRAINING),
+            'test',
+          );
         }
       };
       const sink = await fixture.serve(streaming);
@@ -458,7 +461,7 @@
       const fixture: RelayFixture = new RelayFixture(async params => {
         states.push(params.maySend());
         const {id} = params.server;
-        fixture.fleet.set(createServer(id, FleetState.DRAINING), 'test');
+        fixture.fleet.register(createServer(id, FleetState.DRAINING), 'test');
         states.push(params.maySend());
         return createAnswer(200, []);
       });
@@ -469,7 +472,7 @@
     it('gets no new requests', async () => {
       const fixture = new RelayFixture(answer);
       for (const id of ['s1', 's2']) {
-        fixture.fleet.set(createServer(id, FleetState.DRAINING), 'test');
+        fixture.fleet.register(createServer(id, FleetState.DRAINING), 'test');
       }
       await fixture.serve({});
       expect(fixture.listServers()).to.deep.equal(['s3']);
--- a/test/replica/row_replica_test.ts
+++ b/test/replica/row_replica_test.ts
@@ -6,7 +6,7 @@
   function create() {
     const changes: string[] = [];
     const replica = new RowReplica({
-      getSubstance: text => text.split('#')[0] ?? '',
+      getSignificantContent: text => text.split('#')[0] ?? '',
     });
     replica.addListener(row =>
       changes.push(`${row.key}=${row.text ?? 'removed'}`),
@@ -37,7 +37,7 @@
       const beat = {key: 'a', version: 2, text: 'x#2'};
       replica.addChanges({rows: [beat], after: 1, version: 2}, 'store');
       expect(changes).to.have.length(1);
-      expect(replica.getNewsVersion()).to.equal(1);
+      expect(replica.getVersion()).to.equal(1);
     });
   });
 
@@ -50,7 +50,7 @@
       replica.add({key: 'c', version: 9, text: 'new'}, 'peer');
       expect(replica.getText('a')).to.equal(undefined);
       expect(replica.getText('c')).to.equal('new');
-      expect(replica.getNewsVersion()).to.equal(0);
+      expect(replica.getVersion()).to.equal(0);
     });
 
     it('passes on the removal of a row it lacked, even after an older snapshot', () => {
@@ -61,11 +61,11 @@
       replica.addSnapshot([a, b], 6, 'peer');
       const removal = {key: 'a', version: 7};
       const state = {version: 7, digest: 0};
-      replica.addTold({rows: [removal], after: 6, state}, 'peer');
+      replica.addPeerChanges({rows: [removal], after: 6, state}, 'peer');
 
       const {replica: other} = create();
       other.addSnapshot([a, b], 6, 'store');
-      other.addTold(replica.listChangesSince(6), 'peer');
+      other.addPeerChanges(replica.listChangesSince(6), 'peer');
       expect(other.getText('a')).to.equal(undefined);
     });
   });
@@ -93,7 +93,7 @@
       const {replica} = create();
       const a = {key: 'a', version: 3, text: 'x'};
       replica.addChanges({rows: [a], after: 0, version: 3}, 'store');
-      replica.doubt('a');
+      replica.markInDoubt('a');
       const b = {key: 'b', version: 9, text: 'y'};
       replica.addChanges({rows: [b], after: 3, version: 9}, 'store');
       return replica;
@@ -102,22 +102,22 @@
     it('keeps the row, and lowers the version to the last known one of the row', () => {
       const replica = createInDoubt();
       expect(replica.getText('a')).to.equal('x');
-      expect(replica.getNewsVersion()).to.equal(3);
+      expect(replica.getVersion()).to.equal(3);
     });
 
     it('is resolved when a peer reports the removal', () => {
       const replica = createInDoubt();
       replica.add({key: 'a', version: 7}, 'peer');
       expect(replica.getText('a')).to.equal(undefined);
-      expect(replica.getNewsVersion()).to.equal(9);
+      expect(replica.getVersion()).to.equal(9);
     });
 
     it('is resolved by a snapshot of the table', () => {
       const {replica} = create();
       replica.add({key: 'a', version: 3, text: 'x'}, 'store');
-      replica.doubt('a');
+      replica.markInDoubt('a');
       replica.addSnapshot([{key: 'a', version: 3, text: 'x'}], 9, 'store');
-      expect(replica.getNewsVersion()).to.equal(9);
+      expect(replica.getVersion()).to.equal(9);
     });
   });
 
@@ -160,13 +160,13 @@
       replica.addSnapshot([a], 100, 'store');
       const b = {key: 'b', version: 120, text: 'y'};
       const state = {version: 120, digest: 1};
-      const isComplete = replica.addTold(
+      const isComplete = replica.addPeerChanges(
         {rows: [b], after: 110, state},
         'peer',
       );
       expect(isComplete).to.equal(false);
       expect(replica.getText('b')).to.equal('y');
-      expect(replica.getNewsVersion()).to.equal(100);
+      expect(replica.getVersion()).to.equal(100);
     });
 
     it('becomes complete if the peer has the same rows, despite a gap', () => {
@@ -177,7 +177,7 @@
       replica.addSnapshot([a], 100, 'store');
       other.addSnapshot([a, b], 130, 'store');
       const changes = {rows: [b], after: 110, state: other.getState()};
-      expect(replica.addTold(changes, 'peer')).to.equal(true);
+      expect(replica.addPeerChanges(changes, 'peer')).to.equal(true);
       expect(replica.getState()).to.deep.equal(other.getState());
     });
 
@@ -186,8 +186,8 @@
       const {replica: other} = create();
       other.addSnapshot([{key: 'a', version: 6, text: 'x#2'}], 6, 'store');
       replica.add({key: 'a', version: 1, text: 'x#1'}, 'store');
-      replica.addTold(other.listChangesSince(0), 'peer');
-      expect(replica.getNewsVersion()).to.equal(6);
+      replica.addPeerChanges(other.listChangesSince(0), 'peer');
+      expect(replica.getVersion()).to.equal(6);
     });
   });
 
--- a/test/rollout/decide_rollout_test.ts
+++ b/test/rollout/decide_rollout_test.ts
@@ -2,7 +2,7 @@
 import {
   createVersionCounts,
   decideRollout,
-  RolloutAct,
+  RolloutAction,
   RolloutDecisionInput,
   RolloutState,
   VersionCounts,
@@ -40,8 +40,8 @@
       nowMs: 5000,
       counts,
       recent: counts,
-      readyFrom: 4,
-      readyTo: 4,
+      readyOldServers: 4,
+      readyNewServers: 4,
       bound: {share: 0.1, slack: 50},
       ...change,
     });
@@ -49,7 +49,7 @@
 
   it('gives the new version a small part of its bound during the trial', () => {
     const {act, share} = decide({});
-    expect(act).to.equal(RolloutAct.CONTINUE);
+    expect(act).to.equal(RolloutAction.CONTINUE);
     expect(share).to.be.within(0.01, 0.05);
   });
 
@@ -62,26 +62,28 @@
   });
 
   it('shifts all requests to the new version when the duration is nearly over', () => {
-    expect(decide({nowMs: 11_900}).act).to.equal(RolloutAct.SHIFT);
+    expect(decide({nowMs: 11_900}).act).to.equal(RolloutAction.SHIFT);
   });
 
   it('continues the trial while the new version has too few answers on a route', () => {
     const rare = {...count(FROM, {sent: 500, answers: 500}), route: 'watch'};
     const {act} = decide({nowMs: 20_000, counts: [...counts, rare]});
-    expect(act).to.equal(RolloutAct.CONTINUE);
+    expect(act).to.equal(RolloutAction.CONTINUE);
   });
 
   it('completes only when the old servers have no running requests', () => {
     const busy = [count(FROM, {sent: 9, running: 1}), count(TO, {sent: 99})];
     expect(decide({nowMs: 20_000, counts: busy}, 12_000).act).to.equal(
-      RolloutAct.CONTINUE,
+      RolloutAction.CONTINUE,
+    );
+    expect(decide({nowMs: 20_000}, 12_000).act).to.equal(
+      RolloutAction.COMPLETE,
     );
-    expect(decide({nowMs: 20_000}, 12_000).act).to.equal(RolloutAct.COMPLETE);
   });
 
   it('shifts requests back when servers of the new version are lost', () => {
-    const {act, share} = decide({nowMs: 20_000, readyTo: 2}, 12_000);
-    expect(act).to.equal(RolloutAct.CONTINUE);
+    const {act, share} = decide({nowMs: 20_000, readyNewServers: 2}, 12_000);
+    expect(act).to.equal(RolloutAction.CONTINUE);
     expect(share).to.be.lessThan(0.1);
   });
 
@@ -94,9 +96,9 @@
       count(FROM, {sent: 1000, answers: 1000, bad: 10}),
       count(TO, {sent: 40, answers: 40, bad: 15}),
     ];
-    expect(decide({counts: many}).act).to.equal(RolloutAct.CONTINUE);
+    expect(decide({counts: many}).act).to.equal(RolloutAction.CONTINUE);
     const {act, reason} = decide({counts: many, recent});
-    expect(act).to.equal(RolloutAct.ROLL_BACK);
+    expect(act).to.equal(RolloutAction.ROLL_BACK);
     expect(reason).to.contain('15 of 40 bad');
   });
 });
--- a/test/rollout/rollout_simulation.ts
+++ b/test/rollout/rollout_simulation.ts
@@ -9,11 +9,11 @@
   RolloutOrders,
   RolloutState,
   RolloutStore,
-  RolloutWords,
+  RolloutDirectives,
   StoredRollout,
-  VersionEnd,
-  VersionGate,
-  VersionLedger,
+  VersionOutcome,
+  VersionSelector,
+  VersionCounter,
 } from '../../src/rollout/index.js';
 import {TableFailure, TableFailureKind} from '../../src/table/index.js';
 import {VirtualClock} from '../../src/time/index.js';
@@ -93,9 +93,9 @@
 interface SimulatedHost {
   readonly name: string;
   readonly origin: string;
-  readonly gate: VersionGate;
-  readonly ledger: VersionLedger;
-  readonly words: RolloutWords;
+  readonly selector: VersionSelector;
+  readonly counter: VersionCounter;
+  readonly directives: RolloutDirectives;
   readonly client: RolloutClient;
   readonly driver: RolloutDriver;
   /** Whether it is partitioned from the other hosts and the table. */
@@ -167,8 +167,8 @@
     for (const order of this.orders[0]?.list() ?? []) {
       orders.set(order);
     }
-    const ledger = new VersionLedger();
-    const words = new RolloutWords(clock, log);
+    const counter = new VersionCounter();
+    const directives = new RolloutDirectives(clock, log);
     const countReady = () => this.countReady();
     const driver: RolloutDriver = new RolloutDriver({
       clock,
@@ -180,34 +180,34 @@
         write: (rollout, version) =>
           this.callStore(host, store => store.write(rollout, version)),
       },
-      ledger,
+      counter,
       origin,
       hasService: service => service === SERVICE,
       countReady,
-      getTableMs: () => clock.monotonicMs(),
+      getReferenceTimeMs: () => clock.monotonicMs(),
       getBound: () => ({share: 0.1, slack: 50}),
     });
     const host: SimulatedHost = {
       name,
       origin,
-      ledger,
-      words,
+      counter,
+      directives,
       driver,
-      gate: new VersionGate({
+      selector: new VersionSelector({
         clock,
         random: this.random,
         orders,
-        words,
+        directives,
         countReady,
       }),
       client: new RolloutClient({
         clock,
         log,
         orders,
-        words,
-        ledger,
+        directives,
+        counter,
         host: name,
-        answerHere: report => driver.answer(report, origin),
+        handleLocally: report => driver.handleReport(report, origin),
         findHolder: async () => (host.isPartitioned ? undefined : this.holder),
         requestPeer: async (to, body) => this.deliverReport(host, to, body),
       }),
@@ -266,7 +266,7 @@
   }
 
   private send(host: SimulatedHost): void {
-    const allows = host.gate.draw(SERVICE, true);
+    const allows = host.selector.select(SERVICE, true);
     const isNew = allows?.(createServer(NEW)) ?? true;
     const isOld = allows?.(createServer(OLD)) ?? true;
     if (!isNew && !isOld) {
@@ -275,7 +275,7 @@
     this.requests++;
     const version = isOld ? OLD : NEW;
     const route = ROUTES[this.requests % ROUTES.length] ?? '';
-    const run = host.ledger.begin(SERVICE, version, route);
+    const run = host.counter.begin(SERVICE, version, route);
     const random = this.random.next();
     const nowMs = this.clock.monotonicMs();
     const {isBad, tookMs} =
@@ -288,7 +288,7 @@
         isBad: isBad || tookMs > OLD_ANSWER_MS,
       });
     }
-    const end = isBad ? VersionEnd.BAD : VersionEnd.GOOD;
+    const end = isBad ? VersionOutcome.BAD : VersionOutcome.GOOD;
     run.finish(end, tookMs, tookMs);
   }
 
@@ -326,7 +326,7 @@
     ) {
       return Result.err(new Error('peer not reached'));
     }
-    return Result.ok(host.driver.answer(body as never, from.origin));
+    return Result.ok(host.driver.handleReport(body as never, from.origin));
   }
 }
 
--- a/test/service/service_dispatcher_test.ts
+++ b/test/service/service_dispatcher_test.ts
@@ -7,16 +7,19 @@
 import {SeededRandom} from '../../src/random/index.js';
 import {RetryBudget, ServerDirectory} from '../../src/routing/index.js';
 import {ServiceDispatcher} from '../../src/service/index.js';
-import {DEPLOYMENT, ServersThatEnd} from '../quarantine/servers_that_end.js';
+import {
+  DEPLOYMENT,
+  TerminatingServers,
+} from '../quarantine/terminating_servers.js';
 
 const LETHAL_BODY = 'terminates its server';
 
 describe('ServiceDispatcher', () => {
-  let servers: ServersThatEnd;
+  let servers: TerminatingServers;
   let dispatcher: ServiceDispatcher;
 
   beforeEach(() => {
-    servers = new ServersThatEnd('service');
+    servers = new TerminatingServers('service');
     const {clock, configuration} = servers;
     const directory = new ServerDirectory(
       {
@@ -46,7 +49,7 @@
       getOutcome: async () => Result.ok(undefined),
       send: async ({requestId, body}) => {
         if (Buffer.from(body).toString() === LETHAL_BODY) {
-          return Result.err(servers.end(name, address));
+          return Result.err(servers.terminate(name, address));
         }
         const answer: ServiceAnswer = {
           requestId,
--- a/test/soak/fault_injector.ts
+++ b/test/soak/fault_injector.ts
@@ -57,18 +57,22 @@
       case FaultKind.STORE_BUSY:
         return this.switchOnDuring(fault, '', on => (store.faults.busy = on));
       case FaultKind.STORE_SILENT:
-        return this.switchOnDuring(fault, '', on => (store.faults.silent = on));
+        return this.switchOnDuring(
+          fault,
+          '',
+          on => (store.faults.unresponsive = on),
+        );
       case FaultKind.STORE_LOSES_ANSWERS:
         return this.switchOnDuring(
           fault,
           '',
-          on => (store.faults.loseWriteAnswers = on),
+          on => (store.faults.dropWriteResponses = on),
         );
       case FaultKind.STORE_DEAF:
         return this.switchOnDuring(
           fault,
           '',
-          on => (store.faults.deafWatches = on),
+          on => (store.faults.staleWatches = on),
         );
       case FaultKind.STORE_FORGETS:
         return this.recordDuring(fault, '', async () => store.dropHistory());
--- a/test/soak/soak_server.ts
+++ b/test/soak/soak_server.ts
@@ -1,9 +1,9 @@
 import {Socket} from 'node:net';
 import {
   formatHead,
-  SeenRequest,
-  StandInServer,
-} from '../platform/stand_in/stand_in_server.js';
+  ReceivedRequest,
+  FakeServer,
+} from '../platform/fakes/fake_server.js';
 import {History} from './history.js';
 import {Link} from './link.js';
 
@@ -51,7 +51,7 @@
     limits: false,
   };
   readonly link: Link;
-  private readonly server: StandInServer;
+  private readonly server: FakeServer;
   private port: number | undefined;
   private served = 0;
 
@@ -65,7 +65,7 @@
     readonly startedMs: number,
     private readonly options: SoakServerOptions,
   ) {
-    this.server = new StandInServer((socket, request) =>
+    this.server = new FakeServer((socket, request) =>
       this.serve(socket, request),
     );
     this.link = new Link(() => this.port);
@@ -90,7 +90,7 @@
     this.link.stop();
   }
 
-  private serve(socket: Socket, request: SeenRequest): void {
+  private serve(socket: Socket, request: ReceivedRequest): void {
     const {headers, line, body} = request;
     const [method = '', path = ''] = line.split(' ');
     const id = headers.get('request-id') ?? '';
@@ -140,7 +140,7 @@
 
   private answer(
     socket: Socket,
-    request: SeenRequest,
+    request: ReceivedRequest,
     arrival: {readonly id: string; answer: string | undefined},
   ): void {
     const {losesAnswers, corruptsAnswers, fails} = this.faults;
@@ -173,7 +173,7 @@
 
   private stream(
     socket: Socket,
-    request: SeenRequest,
+    request: ReceivedRequest,
     {id, after}: {readonly id: string; readonly after: number},
   ): void {
     socket.write(
--- a/test/soak/soak_system.ts
+++ b/test/soak/soak_system.ts
@@ -1,6 +1,6 @@
 import {createServer, Server} from 'node:http';
 import {AddressInfo} from 'node:net';
-import {StandInStore} from '../platform/stand_in/stand_in_store.js';
+import {FakeStore} from '../platform/fakes/fake_store.js';
 import {History, LoggedLeaving} from './history.js';
 import {LARGE_RUN_HOSTS} from './schedule.js';
 import {SoakHost} from './soak_host.js';
@@ -36,7 +36,7 @@
 
 /** Store, cloud, servers and the real hosts in front of them, all on loopback. */
 export class SoakSystem {
-  readonly store = new StandInStore();
+  readonly store = new FakeStore();
   readonly hosts: SoakHost[] = [];
   readonly servers: SoakServer[] = [];
   /** Names of the hosts to which the balancer sends new connections. */
--- a/test/usage/true_time_test.ts
+++ b/test/usage/reference_time_test.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {CancelTimer, Clock, VirtualClock} from '../../src/time/index.js';
-import {TrueTime} from '../../src/usage/index.js';
+import {ReferenceTime} from '../../src/usage/index.js';
 
 /** A clock whose wall-clock time can be stepped. */
 class SteppedClock implements Clock {
@@ -25,11 +25,11 @@
   }
 }
 
-describe('TrueTime', () => {
+describe('ReferenceTime', () => {
   it('is not changed by the wall clock of one host', async () => {
     const clock = new VirtualClock(1_000_000);
     const stepped = new SteppedClock(clock);
-    const time = new TrueTime(stepped, 'a');
+    const time = new ReferenceTime(stepped, 'a');
     time.addReading(clock.monotonicMs() + 50, clock.monotonicMs());
     for (const peer of ['b', 'c', 'd']) {
       time.addPeer(peer, 1_000_000 - 50);
@@ -41,6 +41,6 @@
 
   it('is the wall-clock time before the shared clock is known', () => {
     const clock = new VirtualClock(5000);
-    expect(new TrueTime(clock, 'a').getMs()).to.equal(5000);
+    expect(new ReferenceTime(clock, 'a').getMs()).to.equal(5000);
   });
 });
--- a/test/usage/usage_reporter_test.ts
+++ b/test/usage/usage_reporter_test.ts
@@ -83,12 +83,12 @@
       ledger,
       hostUsage,
       origin: `${host}/1`,
-      hearsHolder: () => false,
-      hearsAll: () => true,
+      reachesHolder: () => false,
+      reachesAll: () => true,
       gather: async () => undefined,
-      getTrueMs: () => clock.now().getTime(),
+      getReferenceMs: () => clock.now().getTime(),
       windowMs: WINDOW_MS,
-      lateMs: 10_000,
+      deadlineMs: 10_000,
       send: async (window, counts, fence) => {
         sent.push({window, counts, fence});
         return accepts;
