--- a/src/measure/measure_recording.ts
+++ b/src/measure/measure_recording.ts
@@ -165,7 +165,7 @@
       clock,
       host: 'host',
       incarnation: 'start',
-      spendWrite: () => budget.spend(),
+      takeWriteBudget: () => budget.spend(),
       lingerMs: 50,
       retryMs: 100,
       retentionMs: DURATION_MS * 100,
--- a/src/relay/relay_run.ts
+++ b/src/relay/relay_run.ts
@@ -326,7 +326,7 @@
   private endIfOver(): boolean {
     if (this.disconnected.aborted) {
       this.outcome = 'caller-left';
-      this.sink.breakOff();
+      this.sink.disconnect();
       return true;
     }
     if (
@@ -351,7 +351,7 @@
   private fail(refusal?: Problem): false {
     if (this.answer.hasBegun()) {
       this.outcome = 'broken-off';
-      this.sink.breakOff();
+      this.sink.disconnect();
       return false;
     }
     if (this.errorResponse !== undefined) {
--- a/src/relay_host/relay_host.ts
+++ b/src/relay_host/relay_host.ts
@@ -124,23 +124,23 @@
     const {clock, settings, state, callerListener, log, peers} = this.options;
     const startMs = clock.monotonicMs();
     state.setStopping();
-    log.info('stopping', {busy: callerListener.countBusy()});
+    log.info('stopping', {busy: callerListener.countBusyConnections()});
     peers.sendHeartbeatsNow();
-    callerListener.startClosing();
+    callerListener.startDraining();
     this.dutiesStopped.abort();
     void this.flushUsage();
     await clock.sleep(Math.min(READINESS_DELAY_MS, settings.graceMs / 2));
     callerListener.stopListening();
     const drainUntilMs = startMs + settings.graceMs - EXIT_RESERVE_MS;
     while (
-      callerListener.countBusy() > 0 &&
+      callerListener.countBusyConnections() > 0 &&
       clock.monotonicMs() < drainUntilMs
     ) {
       await clock.sleep(POLL_MS);
     }
     await this.flushUsage();
     await clock.sleep(FLUSH_DELAY_MS);
-    log.info('stopped', {cut: callerListener.countBusy()});
+    log.info('stopped', {cut: callerListener.countBusyConnections()});
     this.stopped.abort();
     callerListener.stop();
     this.options.ready.stop();
--- a/src/rollout/index.ts
+++ b/src/rollout/index.ts
@@ -1,5 +1,5 @@
 /** Rollouts: move a service's requests to servers of another version step by step. */
-export {decideRollout, RolloutAct} from './decide_rollout.js';
+export {decideRollout, RolloutAction} from './decide_rollout.js';
 export type {
   ExposureBound,
   RolloutDecision,
--- a/src/rollout/rollout_driver.ts
+++ b/src/rollout/rollout_driver.ts
@@ -5,7 +5,7 @@
 import {
   decideRollout,
   ExposureBound,
-  RolloutAct,
+  RolloutAction,
   RolloutDecision,
 } from './decide_rollout.js';
 import {isFinal, Rollout, RolloutState} from './rollout.js';
@@ -223,7 +223,7 @@
     const decision = this.decide(active, counts, nowMs);
     if (
       decision.share !== active.share ||
-      decision.act !== RolloutAct.CONTINUE
+      decision.act !== RolloutAction.CONTINUE
     ) {
       this.logStep(active, decision, counts);
     }
@@ -237,7 +237,7 @@
   ): RolloutDecision {
     const {rollout, rollbackReason} = active;
     if (rollbackReason !== undefined) {
-      return {act: RolloutAct.ROLL_BACK, share: 0, reason: rollbackReason};
+      return {act: RolloutAction.ROLL_BACK, share: 0, reason: rollbackReason};
     }
     const {clock, countReady, getBound} = this.options;
     const ready = countReady(rollout.service);
@@ -246,8 +246,8 @@
       nowMs,
       counts,
       recent: active.sumRecent(clock.monotonicMs(), counts),
-      readyFrom: ready.get(rollout.from) ?? 0,
-      readyTo: ready.get(rollout.to) ?? 0,
+      readyOldServers: ready.get(rollout.from) ?? 0,
+      readyNewServers: ready.get(rollout.to) ?? 0,
       bound: getBound(),
     });
   }
@@ -258,16 +258,16 @@
     nowMs: number,
   ): Promise<void> {
     switch (act) {
-      case RolloutAct.CONTINUE:
+      case RolloutAction.CONTINUE:
         active.share = share;
         return;
-      case RolloutAct.SHIFT:
+      case RolloutAction.SHIFT:
         await this.write(active, {shiftedMs: nowMs});
         return;
-      case RolloutAct.COMPLETE:
+      case RolloutAction.COMPLETE:
         await this.write(active, {state: RolloutState.COMPLETED});
         return;
-      case RolloutAct.ROLL_BACK:
+      case RolloutAction.ROLL_BACK:
         // Hosts stop using the version at once, even if this cannot be stored now.
         active.share = 0;
         active.rollbackReason = reason;
--- a/test/platform/leaving_servers_property_test.ts
+++ b/test/platform/leaving_servers_property_test.ts
@@ -283,7 +283,7 @@
       random,
       countReaders: () => reading.countReaders(),
       getMaxWaitMs: () => reading.getMaxWaitMs(),
-      canSkip: () => reading.canSkip(TABLE),
+      canSkipRead: () => reading.canSkip(TABLE),
       onResponse: () => reading.addResponse(TABLE),
       onRead: asOfMs => readAge.addRead(TABLE, asOfMs),
     });
--- a/test/platform/store_feed_test.ts
+++ b/test/platform/store_feed_test.ts
@@ -42,7 +42,7 @@
       random: new SeededRandom(1),
       countReaders: () => 8,
       getMaxWaitMs: () => 1500,
-      canSkip: () => canSkip,
+      canSkipRead: () => canSkip,
       onResponse: () => undefined,
       onRead,
     });
--- a/test/relay/relay_fixture.ts
+++ b/test/relay/relay_fixture.ts
@@ -49,7 +49,7 @@
     this.ended = true;
   }
 
-  breakOff(): void {
+  disconnect(): void {
     this.aborted = true;
   }
 
