--- a/src/membership/leaving_hosts.ts
+++ b/src/membership/leaving_hosts.ts
@@ -65,8 +65,8 @@
   }
 
   /** Adds the leaving hosts that a peer reports. */
-  addReported(heard: readonly LeavingHost[], peer: string): void {
-    for (const leaving of heard) {
+  addReported(reported: readonly LeavingHost[], peer: string): void {
+    for (const leaving of reported) {
       this.add(leaving.host, leaving.ageMs, leaving.remainingMs, peer);
     }
   }
--- a/src/peering/peer_messages.ts
+++ b/src/peering/peer_messages.ts
@@ -123,12 +123,12 @@
       return;
     }
     const {all, news, sharedMs, usualOffsetMs} = parsed.data;
-    const {trueTime} = this.options;
+    const {referenceTime} = this.options;
     if (sharedMs !== undefined) {
-      trueTime.addReading(sharedMs, sentMs);
+      referenceTime.addReading(sharedMs, sentMs);
     }
     if (usualOffsetMs !== undefined) {
-      trueTime.addPeer(peer.host, usualOffsetMs);
+      referenceTime.addPeer(peer.host, usualOffsetMs);
     }
     this.reportReceiver.addAll(peer, all);
     this.reportReceiver.addCentre(peer, parsed.data.centre);
--- a/src/peering/peer_messages_options.ts
+++ b/src/peering/peer_messages_options.ts
@@ -32,16 +32,16 @@
   readonly quarantine: Quarantine;
   readonly ledger: UsageLedger;
   readonly hostUsage: HostUsage;
-  readonly trueTime: ReferenceTime;
+  readonly referenceTime: ReferenceTime;
   /** Replicas of the tables whose updates hosts exchange, by name. */
   readonly replicas: ReadonlyMap<string, RowReplica>;
   /**
    * Answers a rollout message of a host.
-   * @param question - The message.
+   * @param report - The message.
    * @param origin - Host and incarnation of the sender.
    */
   readonly answerRollout: (
-    question: RolloutReport,
+    report: RolloutReport,
     origin: string,
   ) => RolloutReply;
   readonly isStopping: () => boolean;
--- a/src/peering/report_messages.ts
+++ b/src/peering/report_messages.ts
@@ -77,7 +77,7 @@
     if (report.wantsAll === undefined) {
       return {hostsVersion};
     }
-    const {trueTime} = this.options;
+    const {referenceTime} = this.options;
     const all = report.wantsAll
       ? this.sections.summaries.createAll(from, report.membersVersion)
       : undefined;
@@ -85,8 +85,8 @@
       hostsVersion,
       news: this.sections.rows.listStatesWithAge(),
       ...optional('all', all),
-      ...optional('sharedMs', trueTime.readSharedMs()),
-      ...optional('usualOffsetMs', trueTime.getMedianOffset()),
+      ...optional('sharedMs', referenceTime.readSharedMs()),
+      ...optional('usualOffsetMs', referenceTime.getMedianOffset()),
     };
   }
 
@@ -113,8 +113,8 @@
   }
 
   private createEmptyReport(): HostReport {
-    const {self, trueTime, isStopping, holdsDuties} = this.options;
-    const offset = trueTime.readOwnOffset();
+    const {self, referenceTime, isStopping, holdsDuties} = this.options;
+    const offset = referenceTime.readOwnOffset();
     return {
       address: self.address,
       ...optional('capacity', self.capacity),
--- a/src/peering/report_receiver.ts
+++ b/src/peering/report_receiver.ts
@@ -21,7 +21,7 @@
 
   /** Processes a peer's report. */
   addReport(report: HostReport, from: PeerIdentity): void {
-    const {known, reports, hostUsage, trueTime, quota} = this.options;
+    const {known, reports, hostUsage, referenceTime, quota} = this.options;
     const {host, dataCentre} = from;
     const {address, capacity} = report;
     known.addSelfReport({
@@ -48,7 +48,7 @@
       report.usage.map(([window, counts]) => ({window, counts})),
     );
     if (report.timeOffsetMs !== undefined) {
-      trueTime.addPeer(host, report.timeOffsetMs);
+      referenceTime.addPeer(host, report.timeOffsetMs);
     }
   }
 
--- a/src/relay_host/bind_peering.ts
+++ b/src/relay_host/bind_peering.ts
@@ -65,13 +65,13 @@
       quarantine: context.get(Quarantine),
       ledger: context.get(UsageLedger),
       hostUsage: context.get(HostUsage),
-      trueTime: context.get(ReferenceTime),
+      referenceTime: context.get(ReferenceTime),
       replicas: new Map([
         [REPLICA.CATALOG, context.get(CATALOG_ROWS)],
         [REPLICA.SERVERS, context.get(SERVER_ROWS)],
       ]),
-      answerRollout: (question, origin) =>
-        container.get(RolloutDriver).handleReport(question, origin),
+      answerRollout: (report, origin) =>
+        container.get(RolloutDriver).handleReport(report, origin),
       isStopping: () => state.isStopping(),
       holdsDuties: () => container.get(Duty).isHeld(),
       requestPeer: (...request) => container.get(Peers).request(...request),
--- a/src/relay_host/bind_rollouts.ts
+++ b/src/relay_host/bind_rollouts.ts
@@ -62,7 +62,7 @@
       hasService: service =>
         catalog.getView()?.catalog.services.has(service) === true,
       countReady: service => fleet.countReady(service),
-      getReferenceTimeMs: () => referenceTime.readSharedMs(),
+      getTableTimeMs: () => referenceTime.readSharedMs(),
       getBound: () => context.get(GET_SETTINGS)().exposure,
     });
   });
@@ -79,7 +79,7 @@
       directives: context.get(RolloutDirectives),
       counter: context.get(VersionCounter),
       host: context.get(SELF).host,
-      handleLocally: question => driver.handleReport(question, origin),
+      handleLocally: report => driver.handleReport(report, origin),
       findHolder: async () => {
         const holder = await container.get(Duty).readHolder();
         return holder?.slice(0, holder.lastIndexOf('/'));
--- a/src/rollout/rollout_driver.ts
+++ b/src/rollout/rollout_driver.ts
@@ -36,7 +36,7 @@
   /** Counts the servers of a service that accept work, by version. */
   readonly countReady: (service: string) => ReadonlyMap<string, number>;
   /** Returns the time of the table's clock, in ms; `undefined` until it is known. */
-  readonly getReferenceTimeMs: () => number | undefined;
+  readonly getTableTimeMs: () => number | undefined;
   readonly getBound: () => ExposureBound;
 }
 
@@ -167,7 +167,7 @@
     version: number,
   ): Promise<StoredRollout | undefined> {
     const {service, to, durationMs, number} = order;
-    const startedMs = this.options.getReferenceTimeMs();
+    const startedMs = this.options.getTableTimeMs();
     if (startedMs === undefined) {
       return undefined;
     }
@@ -207,9 +207,9 @@
   }
 
   private async advance(active: ActiveRollout): Promise<void> {
-    const {clock, counter, origin, getReferenceTimeMs} = this.options;
+    const {clock, counter, origin, getTableTimeMs} = this.options;
     const {rollout} = active;
-    const nowMs = getReferenceTimeMs();
+    const nowMs = getTableTimeMs();
     active.setCounts(origin, counter.list(rollout.service));
     const hasCollectedCounts =
       clock.monotonicMs() - active.dutySinceMs >= COLLECT_COUNTS_MS;
--- a/test/peering/peer_host.ts
+++ b/test/peering/peer_host.ts
@@ -105,7 +105,7 @@
       quarantine: this.quarantine,
       ledger: this.ledger,
       hostUsage: this.hostUsage,
-      trueTime: new ReferenceTime(clock, self.host),
+      referenceTime: new ReferenceTime(clock, self.host),
       replicas: new Map([[TABLE, this.replica]]),
       answerRollout: () => ({isHolder: false}),
       isStopping: () => false,
--- a/test/rollout/rollout_simulation.ts
+++ b/test/rollout/rollout_simulation.ts
@@ -184,7 +184,7 @@
       origin,
       hasService: service => service === SERVICE,
       countReady,
-      getReferenceTimeMs: () => clock.monotonicMs(),
+      getTableTimeMs: () => clock.monotonicMs(),
       getBound: () => ({share: 0.1, slack: 50}),
     });
     const host: SimulatedHost = {
