--- a/test/limits/shared_limit_test.ts
+++ b/test/limits/shared_limit_test.ts
@@ -64,7 +64,7 @@
   it('is exceeded, as the check detects, if each host uses the whole limit', async () => {
     const server = await start(8, 4, 2.6);
     for (const {known} of server.fixture.hosts) {
-      Object.assign(known, {getTurn: () => ({hosts: 1, place: 0})});
+      Object.assign(known, {getHostPosition: () => ({hosts: 1, place: 0})});
     }
     await server.run(PROPAGATION_MS);
     const fromMs = server.getNowMs();
